--- a/gaphub/admin.py
+++ b/gaphub/admin.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from .config import AdminFront
+from .config import AdminConfig
 from .metrics import Counters
 
 LINE_MOST = 4096
@@ -32,7 +32,7 @@
 class Admin:
     """The socket; ``answers`` are the questions that it knows."""
 
-    def __init__(self, front: AdminFront, counters: Counters, answers: Mapping[str, Callable[[], Any]]) -> None:
+    def __init__(self, front: AdminConfig, counters: Counters, answers: Mapping[str, Callable[[], Any]]) -> None:
         self.path = front.socket
         self.counters = counters
         self.answers = answers
--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..config import AddressFront, BgpFront, address
+from ..config import AddressConfig, BgpConfig, address
 from ..metrics import Counters
 from ..tasks import Tasks
 from .bgp import Update
@@ -37,7 +37,7 @@
         """Withdraw, say goodbye and give everything back."""
 
 
-def route(front: AddressFront, session: Session, term: int) -> Update:
+def route(front: AddressConfig, session: Session, term: int) -> Update:
     """The host route as one session is told it.
 
     Of two holders the router must believe the later: within an AS the term raises LOCAL_PREF, towards another
@@ -52,7 +52,7 @@
 class BgpAnnouncer:
     """A BGP session, and BFD where set, for each neighbour."""
 
-    def __init__(self, front: AddressFront, bgp: BgpFront, counters: Counters, clock: Callable[[], float],
+    def __init__(self, front: AddressConfig, bgp: BgpConfig, counters: Counters, clock: Callable[[], float],
                  holds: Callable[[], bool], seed: int) -> None:
         self.front = front
         self.counters = counters
--- a/gaphub/cli.py
+++ b/gaphub/cli.py
@@ -68,7 +68,7 @@
     faults = []
     for section, body in whole.items():
         try:
-            front = msgspec.convert({section: body}, config.Fronts)
+            front = msgspec.convert({section: body}, config.FrontsConfig)
             if section == "address":
                 front.address.check()  # alone it lacks the cluster, which is looked at below
             else:
@@ -82,7 +82,7 @@
     return faults
 
 
-def _key_fault(front: config.ClusterFront) -> list[str]:
+def _key_fault(front: config.ClusterConfig) -> list[str]:
     from .cluster.keyring import KeyRingError, read
 
     if not front.listen:
--- a/gaphub/cluster/node.py
+++ b/gaphub/cluster/node.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config import Address, ClusterFront, ConfigError, address
+from ..config import Address, ClusterConfig, ConfigError, address
 from ..metrics import Counters
 from ..tasks import Tasks
 from .detector import Detector
@@ -34,12 +34,12 @@
     return time.clock_gettime_ns(clock) / 1e6
 
 
-def members_of(front: ClusterFront) -> list[Member]:
+def members_of(front: ClusterConfig) -> list[Member]:
     """The members as the machine knows them."""
     return [Member(m.id, m.name, m.votes, m.stands and m.votes, m.priority) for m in front.members]
 
 
-def rules_of(front: ClusterFront) -> Rules:
+def rules_of(front: ClusterConfig) -> Rules:
     """The figures as the machine knows them."""
     return Rules(front.lease_ms, front.renew_ms, front.margin, front.ballot_ms, front.stagger_ms,
                  front.jitter_ms, front.renew_ms, 3.5 * front.renew_ms, front.moves_most,
@@ -60,7 +60,7 @@
 class Node:
     """One member.  ``run`` is its actor; ``close`` gives the socket back."""
 
-    def __init__(self, front: ClusterFront, counters: Counters, on_move: Callable[[Move], None],
+    def __init__(self, front: ClusterConfig, counters: Counters, on_move: Callable[[Move], None],
                  clock: Callable[[], float] = steady_ms) -> None:
         self.front = front
         self.counters = counters
--- a/gaphub/cluster/witness.py
+++ b/gaphub/cluster/witness.py
@@ -10,12 +10,12 @@
 import signal
 
 from ..admin import Admin
-from ..config import Witness
+from ..config import WitnessConfig
 from ..metrics import Counters
 from .node import Node
 
 
-async def witness(config: Witness, counters: Counters, stop: asyncio.Event, reload: asyncio.Event) -> None:
+async def witness(config: WitnessConfig, counters: Counters, stop: asyncio.Event, reload: asyncio.Event) -> None:
     """Vote until ``stop``; each ``reload`` reads the key ring again."""
     node = Node(config.cluster, counters, lambda _: None)
     admin = Admin(config.admin, counters, {"status": lambda: {"cluster": node.status(),
@@ -37,7 +37,7 @@
         await node.close()
 
 
-async def run(config: Witness, counters: Counters) -> None:
+async def run(config: WitnessConfig, counters: Counters) -> None:
     """Vote until SIGTERM or SIGINT; on SIGHUP read the key ring again."""
     stop, reload = asyncio.Event(), asyncio.Event()
     for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
--- a/gaphub/config.py
+++ b/gaphub/config.py
@@ -227,7 +227,7 @@
     settings: dict[str, Any] = {}
 
 
-class GearmanFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GearmanConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[gearman]``."""
 
     listen: str = ""  # host:port; empty: off
@@ -251,7 +251,7 @@
     queue_bytes: int = 300_000_000  # of their workloads, names and records
 
 
-class StoreFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoreConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[store]``."""
 
     round_s: float = 30.0  # between two rounds with one peer
@@ -259,7 +259,7 @@
     entries_most: int = 20_000
 
 
-class Sink(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SinkConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A section of a metrics sink."""
 
     address: str = ""  # host:port; empty: off
@@ -267,14 +267,14 @@
     prefix: str = "gaphub"
 
 
-class MetricsFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MetricsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[metrics]``."""
 
-    graphite: Sink = Sink()
-    collectd: Sink = Sink()
+    graphite: SinkConfig = SinkConfig()
+    collectd: SinkConfig = SinkConfig()
 
 
-class MemberEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MemberConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One ``[[cluster.members]]``."""
 
     id: Annotated[int, msgspec.Meta(ge=1, le=255)]
@@ -285,7 +285,7 @@
     priority: Annotated[int, msgspec.Meta(ge=0, le=255)] = 100
 
 
-class ClusterFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClusterConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[cluster]``: who may hold the service address."""
 
     listen: str = ""  # host:port, UDP; empty: off
@@ -301,7 +301,7 @@
     jitter_ms: float = 40.0
     moves_most: int = 30  # votes that one member gives in a minute; 0: any number
     preempt_s: float = 0.0  # hand over to a ready member of higher priority after so long; 0: never
-    members: list[MemberEntry] = []
+    members: list[MemberConfig] = []
 
     def check(self) -> None:
         """Refuse what no cluster can be; ConfigError names the key."""
@@ -336,7 +336,7 @@
             raise ConfigError("cluster.ballot_ms: must be under a lease less its margin")
 
 
-class AddressFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AddressConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[address]``: the service address that moves."""
 
     service: str = ""  # the IPv4 address that is announced as a host route; empty: off
@@ -362,7 +362,7 @@
                 raise ConfigError(f"address.{key}: must not be negative")
 
 
-class Neighbour(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class NeighbourConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One ``[[bgp.neighbours]]``: a router that is told where the address is."""
 
     address: str  # host:port, TCP
@@ -371,7 +371,7 @@
     bfd_listen: str = ""  # host:port, UDP, of ours for it
 
 
-class BgpFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class BgpConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[bgp]``."""
 
     local_as: Annotated[int, msgspec.Meta(ge=0, le=4294967294)] = 0
@@ -381,7 +381,7 @@
     retry_s: float = 1.0
     bfd_ms: float = 50.0  # between two BFD packets, both ways
     bfd_multiplier: Annotated[int, msgspec.Meta(ge=1, le=255)] = 3
-    neighbours: list[Neighbour] = []
+    neighbours: list[NeighbourConfig] = []
 
     def check(self) -> None:
         """Refuse what no router would take."""
@@ -407,13 +407,13 @@
                 address(n.bfd_listen, f"bgp.neighbours[{i}].bfd_listen")
 
 
-class AdminFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AdminConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[admin]``."""
 
     socket: str = ""  # the path of a Unix socket for ``gaphub status``; empty: off
 
 
-class LogFront(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LogConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The section ``[log]``."""
 
     form: Literal["plain", "logfmt", "json"] = "plain"
@@ -422,29 +422,29 @@
     requests: bool = False  # a line on each request, when it is done with
 
 
-class Fronts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FrontsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The file ``deploy/fronts.toml``."""
 
-    gearman: GearmanFront = GearmanFront()
-    store: StoreFront = StoreFront()
-    metrics: MetricsFront = MetricsFront()
-    cluster: ClusterFront = ClusterFront()
-    address: AddressFront = AddressFront()
-    bgp: BgpFront = BgpFront()
-    admin: AdminFront = AdminFront()
-    log: LogFront = LogFront()
+    gearman: GearmanConfig = GearmanConfig()
+    store: StoreConfig = StoreConfig()
+    metrics: MetricsConfig = MetricsConfig()
+    cluster: ClusterConfig = ClusterConfig()
+    address: AddressConfig = AddressConfig()
+    bgp: BgpConfig = BgpConfig()
+    admin: AdminConfig = AdminConfig()
+    log: LogConfig = LogConfig()
 
     def gearman_at(self) -> Address | None:
         """Where the Gearman front listens; None: it is off."""
         return address(self.gearman.listen, "gearman.listen") if self.gearman.listen else None
 
 
-def read_fronts(text: str, classes: list[str]) -> Fronts:
+def read_fronts(text: str, classes: list[str]) -> FrontsConfig:
     """The file ``deploy/fronts.toml``, checked."""
-    return check_fronts(_decode(text.encode(), Fronts, "LB_FRONTS", toml=True), classes)
+    return check_fronts(_decode(text.encode(), FrontsConfig, "LB_FRONTS", toml=True), classes)
 
 
-def check_fronts(fronts: Fronts, classes: list[str]) -> Fronts:
+def check_fronts(fronts: FrontsConfig, classes: list[str]) -> FrontsConfig:
     """What types cannot say of the sections; ConfigError names the first faulty key."""
     for name, cls in fronts.gearman.functions.items():
         if cls not in classes and fronts.gearman.listen:
@@ -490,17 +490,17 @@
     return fronts
 
 
-class Witness(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class WitnessConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The file of ``gaphub witness``: the sections of ``deploy/fronts.toml`` that a voter needs."""
 
-    cluster: ClusterFront = ClusterFront()
-    admin: AdminFront = AdminFront()
-    log: LogFront = LogFront()
+    cluster: ClusterConfig = ClusterConfig()
+    admin: AdminConfig = AdminConfig()
+    log: LogConfig = LogConfig()
 
 
-def read_witness(path: str) -> Witness:
+def read_witness(path: str) -> WitnessConfig:
     """A witness's configuration, checked."""
-    found = _decode(_read(path, "--config"), Witness, path, toml=True)
+    found = _decode(_read(path, "--config"), WitnessConfig, path, toml=True)
     found.cluster.check()
     if not found.cluster.listen:
         raise ConfigError("cluster.listen: missing")
@@ -528,7 +528,7 @@
     models: tuple[str, ...]
     report_fields: tuple[str, ...]  # as reports spell them, in the order of Settings.report_fields
     conn_idle_ms: float
-    fronts: Fronts
+    fronts: FrontsConfig
     keys: frozenset[str]  # the file's keys, by path
 
 
--- a/gaphub/gearman/tls.py
+++ b/gaphub/gearman/tls.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..config import ConfigError, GearmanFront
+from ..config import ConfigError, GearmanConfig
 
 if TYPE_CHECKING:
     from cryptography.hazmat.primitives.asymmetric.ec import EllipticCurvePrivateKey
@@ -24,7 +24,7 @@
 VALID_DAYS = 30
 
 
-def context(front: GearmanFront) -> ssl.SSLContext | None:
+def context(front: GearmanConfig) -> ssl.SSLContext | None:
     """What the front's files say; None where TLS is off; ConfigError names the key that is at fault."""
     if not front.tls_cert:
         return None
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -76,7 +76,7 @@
     async def __aenter__(self) -> Pair:
         await self.cast.__aenter__()
         front = self.cast.config.fronts.cluster
-        two = config.ClusterFront(listen=f"127.0.0.1:{self.ports[1]}", me=2, keys=str(self.keys),
+        two = config.ClusterConfig(listen=f"127.0.0.1:{self.ports[1]}", me=2, keys=str(self.keys),
                                   lease_ms=front.lease_ms, members=front.members)
         self.node = Node(two, Counters(), lambda move: None)
         await self.node.open()
@@ -340,11 +340,11 @@
     async def run() -> None:
         router, port = Router(), free_port()
         await router.listen(port)
-        front = config.BgpFront(local_as=65010, router_id="10.0.0.1", retry_s=0.02, neighbours=[
-            config.Neighbour(address=f"127.0.0.1:{port}", peer_as=65000)])
+        front = config.BgpConfig(local_as=65010, router_id="10.0.0.1", retry_s=0.02, neighbours=[
+            config.NeighbourConfig(address=f"127.0.0.1:{port}", peer_as=65000)])
         holds = [True]
         counters = Counters()
-        made = announcer.BgpAnnouncer(config.AddressFront(service="192.0.2.80", next_hop="127.0.0.1"), front,
+        made = announcer.BgpAnnouncer(config.AddressConfig(service="192.0.2.80", next_hop="127.0.0.1"), front,
                                       counters, steady_ms, lambda: holds[0], 1)
         await made.open()
         await until(lambda: router.sessions == 1)
@@ -427,11 +427,11 @@
 
 # --- the member at work ------------------------------------------------------------------------------
 
-def members(count: int, keys: Path, tmp_path: Path, state: bool = True) -> list[config.ClusterFront]:
+def members(count: int, keys: Path, tmp_path: Path, state: bool = True) -> list[config.ClusterConfig]:
     ports = [free_port() for _ in range(count)]
-    entries = [config.MemberEntry(id=i + 1, name=f"n{i + 1}", address=f"127.0.0.1:{p}")
+    entries = [config.MemberConfig(id=i + 1, name=f"n{i + 1}", address=f"127.0.0.1:{p}")
                for i, p in enumerate(ports)]
-    return [config.ClusterFront(listen=e.address, me=e.id, lease_ms=LEASE_MS, keys=str(keys), members=entries,
+    return [config.ClusterConfig(listen=e.address, me=e.id, lease_ms=LEASE_MS, keys=str(keys), members=entries,
                                 state=str(tmp_path / f"vote{e.id}") if state else "") for e in entries]
 
 
@@ -533,7 +533,7 @@
     path = str(tmp_path / "a.sock")
 
     async def run() -> None:
-        made = admin.Admin(config.AdminFront(path), Counters(), {"status": lambda: {"a": 1}})
+        made = admin.Admin(config.AdminConfig(path), Counters(), {"status": lambda: {"a": 1}})
         await made.open()
         assert os.stat(path).st_mode & 0o077 == 0
         assert await admin.ask(path, "status") == {"a": 1}
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -13,7 +13,7 @@
 from gaphub.announce import bfd, bgp
 from gaphub.announce.announcer import route
 from gaphub.announce.session import Session, Speaker, State
-from gaphub.config import AddressFront
+from gaphub.config import AddressConfig
 
 ROUTE = bgp.Update((), ("192.0.2.80/32",), 0, (65010,), "10.0.0.1", 4294967290)
 
@@ -229,7 +229,7 @@
 
 
 def test_of_two_holders_the_later_term_wins() -> None:
-    front = AddressFront(service="192.0.2.80", next_hop="10.0.0.1")
+    front = AddressConfig(service="192.0.2.80", next_hop="10.0.0.1")
     outside, inside = established(), Session(Speaker(65000, "10.0.0.1", 65000))
     assert (route(front, outside, 8).med or 0) < (route(front, outside, 7).med or 0)
     assert (route(front, inside, 8).local_pref or 0) > (route(front, inside, 7).local_pref or 0)
