--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -18,8 +18,7 @@
 from . import __version__
 from .admin import Admin
 from .clock import Clock
-from .config import Address, Config, ConfigError, check_successor, load
-from .config import address as parse_address
+from .config import Address, Config, ConfigError, check_reload, load, parse_address
 from .core import Core
 from .interface import Settings
 from .metrics import Counters, Sinks
@@ -77,7 +76,7 @@
                 work()
             try:
                 new = self._read()
-                check_successor(self.config, new)
+                check_reload(self.config, new)
             except ConfigError as error:
                 self._counters.log("reloads.failed", str(error))
                 core.figures.reload_failure += 1
@@ -237,7 +236,7 @@
         from .logs import make  # structlog: only where it is wanted
 
         counters.line = make(log.form, log.level, config.name)
-    reload = Reload(config, lambda: load(os.environ, again=True), counters)
+    reload = Reload(config, lambda: load(os.environ, is_reload=True), counters)
     for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.asked)):
         asyncio.get_running_loop().add_signal_handler(number, asked.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..config import AddressConfig, BgpConfig, address
+from ..config import AddressConfig, BgpConfig, parse_address
 from ..metrics import Counters
 from ..tasks import Tasks
 from .bgp import Update
@@ -64,12 +64,13 @@
         draw = random.Random(seed)
         for i, n in enumerate(bgp.neighbours):
             speaker = BgpSpeaker(
-                address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
+                parse_address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
                 Speaker(bgp.local_as, bgp.router_id, n.peer_as, bgp.hold_s, bgp.retry_s), counters, clock,
                 self._route)
             self.speakers.append(speaker)
             self.watchers.append(BfdSpeaker(
-                address(n.bfd_listen, "bfd_listen"), address(n.bfd, "bfd"), bgp.bfd_ms, bgp.bfd_multiplier,
+                parse_address(n.bfd_listen, "bfd_listen"), parse_address(n.bfd, "bfd"), bgp.bfd_ms,
+                bgp.bfd_multiplier,
                 counters, clock, lambda up, s=speaker: None if up else s.cease(10),  # type: ignore[misc]
                 draw) if n.bfd else None)
 
--- a/gaphub/cli.py
+++ b/gaphub/cli.py
@@ -73,7 +73,7 @@
                 front.address.check()  # alone it lacks the cluster, which is looked at below
             else:
                 names = classes.split(",") if classes else list(front.gearman.functions.values())
-                config.check_fronts(front, names)
+                config.validate_fronts(front, names)
             faults += _key_fault(front.cluster)
         except (config.ConfigError, msgspec.ValidationError) as error:
             faults.append(str(error))
--- a/gaphub/cluster/node.py
+++ b/gaphub/cluster/node.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config import Address, ClusterConfig, ConfigError, address
+from ..config import Address, ClusterConfig, ConfigError, parse_address
 from ..metrics import Counters
 from ..tasks import Tasks
 from .detector import Detector
@@ -75,7 +75,7 @@
         self._life = secrets.randbits(63) | 1
         self.election = Election(front.me, members_of(front), rules_of(front), clock(), self._life, remembered)
         self.link = Link(front.me, self._life, front.name, {m.id: m for m in front.members})
-        self.addresses = {m.id: address(m.address, f"cluster.members.{m.name}.address")
+        self.addresses = {m.id: parse_address(m.address, f"cluster.members.{m.name}.address")
                           for m in front.members if m.id != front.me}
         self.detectors = {i: Detector(front.renew_ms) for i in self.addresses}
         self.recent: list[dict[str, Any]] = []  # the last moves, for ``status``
@@ -93,7 +93,7 @@
             raise ConfigError(f"cluster.state: {self.front.state}: {error.strerror}") from None
         loop = asyncio.get_running_loop()
         self._socket, _ = await loop.create_datagram_endpoint(
-            lambda: _Socket(self), local_addr=address(self.front.listen, "cluster.listen"))
+            lambda: _Socket(self), local_addr=parse_address(self.front.listen, "cluster.listen"))
         self._tasks.start(self.run())
 
     async def close(self) -> None:
--- a/gaphub/config.py
+++ b/gaphub/config.py
@@ -17,11 +17,11 @@
 
 from .interface import Effect, Group, Settings
 
-FRONTS = Path(__file__).resolve().parent.parent / "deploy" / "fronts.toml"
+DEFAULT_FRONTS_PATH = Path(__file__).resolve().parent.parent / "deploy" / "fronts.toml"
 Address = tuple[str, int]
 T = TypeVar("T")
 # What the decoder raises of a text that it cannot read; the latter where brackets nest thousands deep.
-GARBLED = (msgspec.DecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, RecursionError)
 
 
 class ConfigError(ValueError):
@@ -163,7 +163,7 @@
     return read_settings(msgspec.json.decode(text))
 
 
-MOST_LISTED = 65_535  # peers, and workers of one list: the store numbers peers in two bytes; more is an error
+MAX_LIST_ENTRIES = 65_535  # peers, and workers of one list: the store numbers peers in two bytes; more is an error
 
 # --- discovery's list ------------------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
     started_ms: float = 0.0
 
 
-Entries = Annotated[list[ListedEntry], msgspec.Meta(max_length=MOST_LISTED)]
+Entries = Annotated[list[ListedEntry], msgspec.Meta(max_length=MAX_LIST_ENTRIES)]
 
 
 class DestinationList(msgspec.Struct, frozen=True, kw_only=True):
@@ -220,7 +220,7 @@
     seed: str = "0"
     limits: Limits = Limits()
     peer_listen: str = ""
-    peers: Annotated[list[str], msgspec.Meta(max_length=MOST_LISTED)] = []
+    peers: Annotated[list[str], msgspec.Meta(max_length=MAX_LIST_ENTRIES)] = []
     peers_all: str = ""
     admin: str = ""
     known: KnownList = KnownList()
@@ -307,7 +307,7 @@
         """Refuse what no cluster can be; ConfigError names the key."""
         if not self.listen:
             return
-        address(self.listen, "cluster.listen")
+        parse_address(self.listen, "cluster.listen")
         if not 2 <= len(self.members) <= 7:
             raise ConfigError(f"cluster.members: {len(self.members)} members, there must be 2 to 7")
         for key in ("id", "name", "address"):
@@ -315,7 +315,7 @@
             if len(set(values)) < len(values):
                 raise ConfigError(f"cluster.members: two have the same {key}")
         for i, m in enumerate(self.members):
-            address(m.address, f"cluster.members[{i}].address")
+            parse_address(m.address, f"cluster.members[{i}].address")
         if self.me not in [m.id for m in self.members]:
             raise ConfigError(f"cluster.me: {self.me} is the id of no member")
         if sum(m.votes for m in self.members) < 2:
@@ -356,7 +356,7 @@
                     raise ValueError
             except ValueError:
                 raise ConfigError(f"address.{key}: {getattr(self, key)!r} is not an IPv4 address") from None
-        address(self.listen, "address.listen")
+        parse_address(self.listen, "address.listen")
         for key in ("return_ms", "linger_ms"):
             if not getattr(self, key) >= 0:
                 raise ConfigError(f"address.{key}: must not be negative")
@@ -399,12 +399,12 @@
         if not self.retry_s > 0 or not 1 <= self.bfd_ms <= 60_000:
             raise ConfigError("bgp: retry_s must be above 0 and bfd_ms from 1 to 60000")
         for i, n in enumerate(self.neighbours):
-            address(n.address, f"bgp.neighbours[{i}].address")
+            parse_address(n.address, f"bgp.neighbours[{i}].address")
             if bool(n.bfd) != bool(n.bfd_listen):
                 raise ConfigError(f"bgp.neighbours[{i}].bfd: needs bfd_listen, and the other way round")
             if n.bfd:
-                address(n.bfd, f"bgp.neighbours[{i}].bfd")
-                address(n.bfd_listen, f"bgp.neighbours[{i}].bfd_listen")
+                parse_address(n.bfd, f"bgp.neighbours[{i}].bfd")
+                parse_address(n.bfd_listen, f"bgp.neighbours[{i}].bfd_listen")
 
 
 class AdminConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -434,17 +434,17 @@
     admin: AdminConfig = AdminConfig()
     log: LogConfig = LogConfig()
 
-    def gearman_at(self) -> Address | None:
+    def gearman_address(self) -> Address | None:
         """Where the Gearman front listens; None: it is off."""
-        return address(self.gearman.listen, "gearman.listen") if self.gearman.listen else None
+        return parse_address(self.gearman.listen, "gearman.listen") if self.gearman.listen else None
 
 
-def read_fronts(text: str, classes: list[str]) -> FrontsConfig:
+def parse_fronts(text: str, classes: list[str]) -> FrontsConfig:
     """The file ``deploy/fronts.toml``, checked."""
-    return check_fronts(_decode(text.encode(), FrontsConfig, "LB_FRONTS", toml=True), classes)
+    return validate_fronts(_decode(text.encode(), FrontsConfig, "LB_FRONTS", toml=True), classes)
 
 
-def check_fronts(fronts: FrontsConfig, classes: list[str]) -> FrontsConfig:
+def validate_fronts(fronts: FrontsConfig, classes: list[str]) -> FrontsConfig:
     """What types cannot say of the sections; ConfigError names the first faulty key."""
     for name, cls in fronts.gearman.functions.items():
         if cls not in classes and fronts.gearman.listen:
@@ -452,7 +452,7 @@
     if fronts.gearman.default_class and fronts.gearman.listen and fronts.gearman.default_class not in classes:
         raise ConfigError(f"gearman.default_class: {fronts.gearman.default_class!r} is none of "
                           f"{', '.join(classes)}")
-    fronts.gearman_at()
+    fronts.gearman_address()
     if bool(fronts.gearman.tls_cert) != bool(fronts.gearman.tls_key):
         raise ConfigError("gearman.tls_key: tls_cert and tls_key go together")
     if fronts.gearman.tls_ca and not fronts.gearman.tls_cert:
@@ -477,7 +477,7 @@
             raise ConfigError(f"{key}: must be above 0")
     for key, sink in (("graphite", fronts.metrics.graphite), ("collectd", fronts.metrics.collectd)):
         if sink.address:
-            address(sink.address, f"metrics.{key}.address")
+            parse_address(sink.address, f"metrics.{key}.address")
         if not sink.every_s > 0:
             raise ConfigError(f"metrics.{key}.every_s: must be above 0")
         if not re.fullmatch(r"[A-Za-z0-9_\-]+(\.[A-Za-z0-9_\-]+)*", sink.prefix):
@@ -532,7 +532,7 @@
     keys: frozenset[str]  # the file's keys, by path
 
 
-def address(text: str, key: str) -> Address:
+def parse_address(text: str, key: str) -> Address:
     """``host:port`` as a pair."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
@@ -543,7 +543,7 @@
 def _decode(data: bytes, type_: type[T], where: str, toml: bool = False) -> T:
     try:
         return msgspec.toml.decode(data, type=type_) if toml else msgspec.json.decode(data, type=type_)
-    except GARBLED as error:
+    except DECODE_ERRORS as error:
         raise ConfigError(f"{where}: {_wire_key(str(error))}") from None
 
 
@@ -554,18 +554,18 @@
         raise ConfigError(f"{key}: {path}: {error.strerror}") from None
 
 
-def load(env: Mapping[str, str], again: bool = False) -> Config:
+def load(env: Mapping[str, str], is_reload: bool = False) -> Config:
     """The whole configuration; ConfigError names what is wrong with it.
 
     ``again``: the program runs.  The environment is still that of the start, so the file prevails.
     """
     if not env.get("LB_CONFIG"):
         raise ConfigError("LB_CONFIG: missing")
-    fronts = env.get("LB_FRONTS") or str(FRONTS)
-    return from_text(_read(env["LB_CONFIG"], "LB_CONFIG"), env, _read(fronts, "LB_FRONTS").decode(), again)
+    fronts = env.get("LB_FRONTS") or str(DEFAULT_FRONTS_PATH)
+    return from_text(_read(env["LB_CONFIG"], "LB_CONFIG"), env, _read(fronts, "LB_FRONTS").decode(), is_reload)
 
 
-def from_text(data: bytes, env: Mapping[str, str], fronts: str, again: bool = False) -> Config:
+def from_text(data: bytes, env: Mapping[str, str], fronts: str, is_reload: bool = False) -> Config:
     """The configuration from the texts of its two files and the environment."""
     file = _decode(data, _File, "LB_CONFIG")
     raw = file.settings
@@ -583,15 +583,15 @@
         raise ConfigError(f"limits.connIdle: {idle!r} is not a time")
     return Config(
         name=env.get("LB_NAME") or file.name,
-        listen=address(env.get("LB_LISTEN") or file.listen, "LB_LISTEN"),
-        discovery=address((again and file.discovery) or env.get("LB_DISCOVERY") or file.discovery,
-                          "LB_DISCOVERY"),
+        listen=parse_address(env.get("LB_LISTEN") or file.listen, "LB_LISTEN"),
+        discovery=parse_address((is_reload and file.discovery) or env.get("LB_DISCOVERY") or file.discovery,
+                                "LB_DISCOVERY"),
         seed=int(file.seed, 16),
         limits=file.limits,
-        peer_listen=address(file.peer_listen, "peer_listen") if file.peer_listen else None,
-        peers=tuple(address(p, f"peers[{i}]") for i, p in enumerate(file.peers)),
-        peers_all=address(file.peers_all, "peers_all") if file.peers_all else None,
-        admin=address(admin, "LB_ADMIN") if (admin := env.get("LB_ADMIN") or file.admin) else None,
+        peer_listen=parse_address(file.peer_listen, "peer_listen") if file.peer_listen else None,
+        peers=tuple(parse_address(p, f"peers[{i}]") for i, p in enumerate(file.peers)),
+        peers_all=parse_address(file.peers_all, "peers_all") if file.peers_all else None,
+        admin=parse_address(admin, "LB_ADMIN") if (admin := env.get("LB_ADMIN") or file.admin) else None,
         known=file.known,
         settings=settings,
         class_names=tuple(names),
@@ -599,7 +599,7 @@
         models=tuple(map(str, raw.get("models") or ())),
         report_fields=tuple(map(str, _object(raw.get("report"), "report").get("fields") or ())),
         conn_idle_ms=float(idle),
-        fronts=read_fronts(fronts, names),
+        fronts=parse_fronts(fronts, names),
         keys=frozenset(_paths(msgspec.json.decode(data), "")),
     )
 
@@ -614,7 +614,7 @@
     return set()
 
 
-def check_successor(old: Config, new: Config) -> None:
+def check_reload(old: Config, new: Config) -> None:
     """Refuse a file that lacks what the one in force has; ConfigError names the first such key.
 
     At a start an absent key has its default; in a file for a running scheduler it is a file that was cut or
--- a/gaphub/lab/scale/scenario.py
+++ b/gaphub/lab/scale/scenario.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from ...config import MOST_LISTED
+from ...config import MAX_LIST_ENTRIES
 from ...occupancy.sized import LARGE_FROM_PEERS, LARGE_FROM_WORKERS
 from .points import Load, Told
 
@@ -155,8 +155,8 @@
         _need(holds, names.get(key, f"load.{key}"), what)
 
     need(1 <= load.zones <= 64, "zones", "must be from 1 to 64")
-    need(load.zones <= load.workers <= MOST_LISTED, "workers",
-         f"must be from the number of zones to {MOST_LISTED}")
+    need(load.zones <= load.workers <= MAX_LIST_ENTRIES, "workers",
+         f"must be from the number of zones to {MAX_LIST_ENTRIES}")
     need(scenario.real_schedulers < load.schedulers <= HOLLOW_MOST, "schedulers",
          f"must be above real_schedulers and at most {HOLLOW_MOST}")
     need(0.0 <= load.starts_per_s <= 20_000.0, "starts_per_s", "must be from 0 to 20000")
--- a/gaphub/metrics.py
+++ b/gaphub/metrics.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from .config import Address, Config, address
+from .config import Address, Config, parse_address
 
 LINES_PER_WINDOW = 5  # log lines of one kind in a window; more are only counted
 WINDOW_S = 10.0
@@ -124,7 +124,7 @@
         """Write a batch of lines every so often, over one connection as long as it lives."""
         if not self.graphite.address:
             return
-        to = address(self.graphite.address, "metrics.graphite.address")
+        to = parse_address(self.graphite.address, "metrics.graphite.address")
         writer: asyncio.StreamWriter | None = None
         try:
             while True:
@@ -151,7 +151,7 @@
         """Send the packets every so often; a datagram that nobody takes is nobody's loss."""
         if not self.collectd.address:
             return
-        to: Address = address(self.collectd.address, "metrics.collectd.address")
+        to: Address = parse_address(self.collectd.address, "metrics.collectd.address")
         transport: asyncio.DatagramTransport | None = None
         try:
             while True:
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -13,7 +13,7 @@
 import h11
 import msgspec
 
-from ..config import GARBLED, Address, Config, ConfigError, DestinationList, ListedEntry, address
+from ..config import DECODE_ERRORS, Address, Config, ConfigError, DestinationList, ListedEntry, parse_address
 from ..core import Core
 from ..interface import ListKind, WorkerState
 from ..messages import Listed
@@ -195,7 +195,7 @@
         try:
             found = msgspec.json.decode(body, type=DestinationList)
             entries = self._entries(found)
-        except GARBLED as error:
+        except DECODE_ERRORS as error:
             self.counters.log("garbled.list", str(error))
             await asyncio.sleep(self._first_pause_s())
             return True
@@ -219,7 +219,7 @@
         of what it does for a request.
         """
         try:
-            address(e.addr, e.id)
+            parse_address(e.addr, e.id)
         except ConfigError as error:
             if e.state == "active":  # what says that a worker drains or has gone counts all the same
                 self.counters.log("garbled.entry", str(error))
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -105,7 +105,7 @@
         self.counters = counters
         self.store = store
         self.set = config.fronts.gearman
-        self.at = config.fronts.gearman_at()
+        self.at = config.fronts.gearman_address()
         self.functions = Functions(self.set.functions, self.set.default_class, config.class_names, store,
                                    core.clock)
         self.me = config.settings.me
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -12,7 +12,7 @@
 import h11
 import msgspec
 
-from ...config import GARBLED
+from ...config import DECODE_ERRORS
 from ...core import Core
 from ...interface import Status
 from ...messages import Call, Outcome
@@ -108,7 +108,7 @@
     def _decode(self, text: bytes) -> Line:
         try:
             return _line.decode(text)
-        except GARBLED as error:
+        except DECODE_ERRORS as error:
             raise self._garbled(str(error)) from None
 
     def _garbled(self, why: str) -> ConnectionLostError:
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -8,7 +8,7 @@
 import asyncio
 from contextlib import suppress
 
-from ...config import Config, address
+from ...config import Config, parse_address
 from ...core import Core
 from ...interface import Status
 from ...messages import Call, Destination, Outcome
@@ -37,7 +37,7 @@
         self._calls: dict[int, asyncio.Task[None]] = {}
 
     def _pool(self, destination: Destination) -> Pool:
-        return self.pools.to(address(destination.listed.addr, "addr"))
+        return self.pools.to(parse_address(destination.listed.addr, "addr"))
 
     async def run(self) -> None:
         """Close idle connections well before the other side does."""
@@ -55,7 +55,7 @@
     def forget(self, destination: Destination) -> None:
         """The destination is gone or restarted: its pool ends."""
         with suppress(ValueError):  # an address that never was one has no pool
-            self.pools.forget(address(destination.listed.addr, "addr"))
+            self.pools.forget(parse_address(destination.listed.addr, "addr"))
 
     # -- probes --
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -137,7 +137,7 @@
         self.file = json.dumps(file).encode()
         self.config = conf.from_text(self.file, {}, fronts)
         env = {"LB_DISCOVERY": file["discovery"]}  # says the same at the start, and for ever after
-        self.reload = Reload(self.config, lambda: conf.from_text(self.file, env, fronts, again=True),
+        self.reload = Reload(self.config, lambda: conf.from_text(self.file, env, fronts, is_reload=True),
                              self.counters)
         self.task = asyncio.create_task(serve(self.config, self.counters, self.stop, self.reload))
         for _ in range(500):
@@ -164,7 +164,7 @@
     async def side(self, name: str) -> Side:
         if name not in self.sides:
             side = self.sides[name] = Side()
-            to = (self.config.fronts.gearman_at() if name[0] in "ga" else
+            to = (self.config.fronts.gearman_address() if name[0] in "ga" else
                   self.config.admin if name[0] == "o" else self.config.listen)
             assert to is not None
             side.reader, side.writer = await asyncio.open_connection(*to)
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -617,7 +617,7 @@
     assert found.exit_code == 2
     for key in ("cluster.me", "bgp.router_id", "address.service", "metrics.graphite.every_s"):
         assert key in found.output
-    sound = CliRunner().invoke(gaphub, ["check", str(config.FRONTS)])
+    sound = CliRunner().invoke(gaphub, ["check", str(config.DEFAULT_FRONTS_PATH)])
     assert sound.exit_code == 0, sound.output
 
 
@@ -645,6 +645,6 @@
     ("id = 2", "id = 1", "cluster.members"), ("stands = false", "stands = 3", "cluster.members")])
 def test_a_faulty_key_is_named(tmp_path: Path, old: str, new: str, key: str) -> None:
     text = Pair(tmp_path).text.replace("PORT", "1")
-    assert config.read_fronts(text, ["poloha", "vyuctovani"]).cluster.me == 1
+    assert config.parse_fronts(text, ["poloha", "vyuctovani"]).cluster.me == 1
     with pytest.raises(config.ConfigError, match=key.replace(".", r"\.")):
-        config.read_fronts(text.replace(old, new), ["poloha", "vyuctovani"])
+        config.parse_fronts(text.replace(old, new), ["poloha", "vyuctovani"])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from gaphub.config import FRONTS, ConfigError, from_text
+from gaphub.config import DEFAULT_FRONTS_PATH, ConfigError, from_text
 from gaphub.interface import Effect
 
 from .scenario import SETTINGS
@@ -25,9 +25,9 @@
 
 
 def test_defaults_and_the_deploy_file() -> None:
-    config = read(FRONTS.read_text())
+    config = read(DEFAULT_FRONTS_PATH.read_text())
     assert config.listen == ("127.0.0.1", 3000)
-    assert config.fronts.gearman_at() is None  # off on the platform
+    assert config.fronts.gearman_address() is None  # off on the platform
     assert config.fronts.metrics.graphite.address == "" == config.fronts.metrics.collectd.address
     assert config.limits.sockets == 1024
     assert config.settings.connect_timeout_ms == 150.0
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -281,7 +281,7 @@
     """While the process stands.  A shorter queue has no room, and a SYN that is dropped comes again after 1 s."""
     async def run() -> None:
         async with Cast(fronts=FRONTS, known="") as cast:
-            gearman = cast.config.fronts.gearman_at()
+            gearman = cast.config.fronts.gearman_address()
             assert gearman is not None
             with ExitStack() as clients:
                 sent_again = []
--- a/tests/test_never_twice.py
+++ b/tests/test_never_twice.py
@@ -249,7 +249,7 @@
     async def run() -> World:
         async with Cast(fronts=FRONTS, known="") as cast:
             world = World(cast)
-            at = cast.config.fronts.gearman_at()
+            at = cast.config.fronts.gearman_address()
             servers = []
             connections: set[asyncio.Task[None]] = set()
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -475,7 +475,7 @@
 
 @pytest.mark.parametrize("key", ["peers", "known"])
 def test_a_list_over_the_stated_bound_is_an_error_that_names_its_key(key: str) -> None:
-    many = ["127.0.0.1:9"] * (config.MOST_LISTED + 1)
+    many = ["127.0.0.1:9"] * (config.MAX_LIST_ENTRIES + 1)
     known = {"servers": [{"id": str(i), "addr": a, "state": "active"} for i, a in enumerate(many)]}
     file = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS,
             key: many if key == "peers" else known}
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -47,7 +47,7 @@
 
 async def echo(cast: Cast, context: ssl.SSLContext | None) -> bytes:
     """What comes back for an echo; empty where the session ends instead."""
-    to = cast.config.fronts.gearman_at()
+    to = cast.config.fronts.gearman_address()
     assert to is not None
     try:
         async with asyncio.timeout(8.0):
@@ -89,7 +89,7 @@
 
     async def run() -> None:
         async with Cast(fronts=FRONTS.format(one)) as cast:
-            to = cast.config.fronts.gearman_at()
+            to = cast.config.fronts.gearman_address()
             assert to is not None
             reader, writer = await asyncio.open_connection(*to, ssl=client(one))
             (one / "server.key").write_text("nonsense")
@@ -133,7 +133,7 @@
 def test_sessions_send_small_packets_at_once(tmp_path: Path) -> None:
     async def run() -> None:
         async with Cast(fronts=FRONTS.format(make(tmp_path))) as cast:
-            to = cast.config.fronts.gearman_at()
+            to = cast.config.fronts.gearman_address()
             assert to is not None
             _, writer = await asyncio.open_connection(*to, ssl=client(tmp_path))
             seen: list[socket.socket] = []
@@ -168,7 +168,7 @@
 def test_a_session_whose_packet_lies_in_the_kernel_when_its_idle_time_ends_is_served() -> None:
     async def run() -> None:
         async with Cast(fronts=IDLE_FRONT, known="") as cast:
-            address = cast.config.fronts.gearman_at()
+            address = cast.config.fronts.gearman_address()
             assert address is not None
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"version\n")
