--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -79,10 +79,10 @@
                 check_reload(self.config, new)
             except ConfigError as error:
                 self._counters.log("reloads.failed", str(error))
-                core.figures.reload_failure += 1
+                core.job_stats.reload_failure += 1
                 continue
             self._counters.add("reloads.done")
-            core.figures.reload_success += 1
+            core.job_stats.reload_success += 1
             core.retune(new.settings, new.class_names, keep_rows=bool(new.fronts.gearman.listen))
             waiting = [key for key in STARTING if getattr(new, key) != getattr(self.config, key)]
             if _structure(new.settings) != _structure(self.config.settings):
@@ -128,7 +128,7 @@
         return inbound.handler.ready and (destinations.told or late)
 
     return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
-               lambda: core.figures.show(core.concurrent, *core.targets()), move)
+               lambda: core.job_stats.snapshot(core.concurrent, *core.targets()), move)
 
 
 async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: Reload) -> None:
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -39,7 +39,7 @@
     PeerPort,
 )
 from .metrics import Counters
-from .ops.figures import Figures
+from .ops.figures import JobStats
 from .ops.legacy import leave, read, take
 from .ops.out import Outs
 from .ops.retune import first, follow, settings_for
@@ -58,8 +58,8 @@
         """``class_names``: as figures name the classes of the settings; ``name``: the scheduler's."""
         self.settings = settings
         self.table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
-        self.figures = Figures()
-        self.figures.know(self.class_names)
+        self.job_stats = JobStats()
+        self.job_stats.add_classes(self.class_names)
         self.outs = Outs(name)
         self.destinations = DestinationTable(self.outs, self._forget)
         self.clock = clock
@@ -102,7 +102,7 @@
 
     def turn_away(self, job: Job, return_ms: float = 1e9) -> Answer:
         """A refusal at the door: the core never takes the job, but it is counted."""
-        self.figures.ended(self.class_names[job.class_index], Ending.REFUSED.value)
+        self.job_stats.count_ending(self.class_names[job.class_index], Ending.REFUSED.value)
         return self.refusal(return_ms)
 
     def refusal(self, return_ms: float = 1e9) -> Answer:
@@ -123,7 +123,7 @@
         busy = set(range(len(self.table.rows))) if keep_rows else {j.class_index for j in self._jobs.values()}
         self.table, fresh = follow(self.table, settings.classes, names, busy)
         self.settings = settings_for(self.settings, settings, self.table)
-        self.figures.know(names)
+        self.job_stats.add_classes(names)
         self.destinations.classes_changed()
         self.balancer.on_settings(self.settings, fresh)
 
@@ -263,7 +263,7 @@
         job.ending = answer.ending.value + job.why
         job.answered_ms = self.clock.now() - job.received_at
         self.counters.add(f"requests.{answer.ending.value}")
-        self.figures.ended(self.class_names[job.class_index], answer.ending.value)
+        self.job_stats.count_ending(self.class_names[job.class_index], answer.ending.value)
         try:
             job.reply(answer)
         except Exception as error:  # a front that fails must not stop the core
@@ -279,7 +279,7 @@
 
     def written(self, call: Call) -> None:
         """A port wrote the last byte of a call."""
-        self.figures.dispatched(self.class_names[call.job.class_index])
+        self.job_stats.count_dispatch(self.class_names[call.job.class_index])
 
     def news(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
         """News of a call for the front that took its request."""
--- a/gaphub/ops/figures.py
+++ b/gaphub/ops/figures.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-ENDINGS = {"served": "success", "refused": "overload", "failed": "error"}
+REPLY_NAMES = {"served": "success", "refused": "overload", "failed": "error"}
 
 
-class Figures:
+class JobStats:
     """Counts since the start of this process."""
 
     def __init__(self) -> None:
@@ -20,26 +20,26 @@
         self.reload_success = 0
         self.reload_failure = 0
 
-    def know(self, names: Iterable[str]) -> None:
+    def add_classes(self, names: Iterable[str]) -> None:
         """Classes that are shown from now on, also while nothing is counted for them."""
         for name in names:
-            self._of(name)
+            self._counts_of(name)
 
-    def _of(self, name: str) -> dict[str, int]:
+    def _counts_of(self, name: str) -> dict[str, int]:
         found = self._replies.get(name)
         if found is None:
             found = self._replies[name] = {"success": 0, "overload": 0, "error": 0, "dispatches": 0}
         return found
 
-    def ended(self, name: str, ending: str) -> None:
+    def count_ending(self, name: str, ending: str) -> None:
         """A job got its final answer: ``served``, ``refused`` or ``failed``."""
-        self._of(name)[ENDINGS[ending]] += 1
+        self._counts_of(name)[REPLY_NAMES[ending]] += 1
 
-    def dispatched(self, name: str) -> None:
+    def count_dispatch(self, name: str) -> None:
         """The last byte of an attempt was written to a worker."""
-        self._of(name)["dispatches"] += 1
+        self._counts_of(name)["dispatches"] += 1
 
-    def show(self, concurrent: int, targets: int, targets_disabled: int) -> dict[str, Any]:
+    def snapshot(self, concurrent: int, targets: int, targets_disabled: int) -> dict[str, Any]:
         """All figures; the three given ones are of this moment."""
         return {
             "replies": {name: dict(counts) for name, counts in self._replies.items()},
