--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -32,7 +32,7 @@
 from .net.ops import Ops
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
-from .ops.retune import TAKEN
+from .ops.retune import RELOADABLE_SETTINGS
 from .ops.shelf import Shelf
 from .store import Store
 from .tasks import Tasks
@@ -50,7 +50,8 @@
 
 def _structure(settings: Settings) -> dict[str, Any]:
     """What of the settings is read at the start only."""
-    return {f.name: getattr(settings, f.name) for f in fields(settings) if f.name not in (*TAKEN, "classes")}
+    return {f.name: getattr(settings, f.name) for f in fields(settings)
+            if f.name not in (*RELOADABLE_SETTINGS, "classes")}
 
 
 class Reload:
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -42,7 +42,7 @@
 from .ops.figures import JobStats
 from .ops.legacy import leave, read, take
 from .ops.out import Outs
-from .ops.retune import first, follow, settings_for
+from .ops.retune import effective_settings, initial_table, updated_table
 from .request_log import describe
 
 MAILBOX = 4096  # messages; requests past it are refused, everything else waits for room
@@ -57,7 +57,7 @@
                  class_names: Sequence[str] = (), name: str = "") -> None:
         """``class_names``: as figures name the classes of the settings; ``name``: the scheduler's."""
         self.settings = settings
-        self.table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
+        self.table = initial_table(settings, class_names or [str(i) for i in range(len(settings.classes))])
         self.job_stats = JobStats()
         self.job_stats.add_classes(self.class_names)
         self.outs = Outs(name)
@@ -121,8 +121,8 @@
         ``keep_rows``: somebody else holds numbers of classes too, so that none may get another meaning.
         """
         busy = set(range(len(self.table.rows))) if keep_rows else {j.class_index for j in self._jobs.values()}
-        self.table, fresh = follow(self.table, settings.classes, names, busy)
-        self.settings = settings_for(self.settings, settings, self.table)
+        self.table, fresh = updated_table(self.table, settings.classes, names, busy)
+        self.settings = effective_settings(self.settings, settings, self.table)
         self.job_stats.add_classes(names)
         self.destinations.classes_changed()
         self.balancer.on_settings(self.settings, fresh)
@@ -519,7 +519,7 @@
     def legacy(self) -> bytes:
         """What a successor may go on from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
-        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.table.live), names,
+        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.table.active_rows), names,
                      self.clock.base)
 
     def inherit(self, data: bytes) -> bool:
@@ -527,7 +527,7 @@
         page = read(data, self.outs.scheduler, self.clock.now(), self.clock.base)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            take(self.balancer, page, dict(self.table.live), numbers)
+            take(self.balancer, page, dict(self.table.active_rows), numbers)
         return page is not None
 
     def targets(self) -> tuple[int, int]:
--- a/gaphub/net/http/handler.py
+++ b/gaphub/net/http/handler.py
@@ -190,7 +190,7 @@
             await self._write(http, session, 404 if event.method == b"GET" else 405, b"")
         else:
             future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            job = parse_job(event, body, self.core.table.live, received_at, lambda a: _settle(future, a))
+            job = parse_job(event, body, self.core.table.active_rows, received_at, lambda a: _settle(future, a))
             if job.ident in self.open_ids:
                 raise BadRequestError(409, "the id of an open request")
             session.served = True
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -255,12 +255,12 @@
 @given(st.lists(st.dictionaries(st.sampled_from("pqrs"), CLASS, min_size=1), min_size=2, max_size=6),
        st.sets(st.integers(0, 5)))
 def test_a_row_never_changes_under_an_open_job(files: list[dict[str, ClassSettings]], busy: set[int]) -> None:
-    table = retune.Table(tuple(files[0].values()), tuple(files[0]), {n: i for i, n in enumerate(files[0])})
+    table = retune.ClassTable(tuple(files[0].values()), tuple(files[0]), {n: i for i, n in enumerate(files[0])})
     for file in files[1:]:
-        after, fresh = retune.follow(table, list(file.values()), list(file), busy)
-        assert {name: after.rows[row] for name, row in after.live.items()} == file
-        assert len(set(after.live.values())) == len(file)
-        for row in [r for r in range(len(table.rows)) if r in busy or r in table.live.values()]:
+        after, fresh = retune.updated_table(table, list(file.values()), list(file), busy)
+        assert {name: after.rows[row] for name, row in after.active_rows.items()} == file
+        assert len(set(after.active_rows.values())) == len(file)
+        for row in [r for r in range(len(table.rows)) if r in busy or r in table.active_rows.values()]:
             assert row not in fresh
             assert after.rows[row].effect == table.rows[row].effect
             assert after.rows[row].deadline_ms == table.rows[row].deadline_ms
