--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -116,7 +116,7 @@
     def move(worker: str, out: bool) -> int:
         if not core.ever_listed(worker):
             return 404
-        if not core.outs.say(core.clock.now(), worker, out):
+        if not core.overrides.record(core.clock.now(), worker, out):
             return 507
         shelf.put()
         core.moved_by_hand([worker])
@@ -167,7 +167,8 @@
         **({"gearman": gearmen.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
-    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.outs, counters, core.moved_by_hand)
+    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.overrides, counters,
+                  core.moved_by_hand)
     shelf.look()  # before any list: who is out is not sent to for a moment
     ops = None if config.admin is None else ops_for(config.admin, config, core, counters, shelf, inbound,
                                                           destinations)
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -41,7 +41,7 @@
 from .metrics import Counters
 from .ops.figures import JobStats
 from .ops.legacy import leave, read, take
-from .ops.out import Outs
+from .ops.out import WorkerOverrides
 from .ops.retune import effective_settings, initial_table, updated_table
 from .request_log import describe
 
@@ -60,8 +60,8 @@
         self.table = initial_table(settings, class_names or [str(i) for i in range(len(settings.classes))])
         self.job_stats = JobStats()
         self.job_stats.add_classes(self.class_names)
-        self.outs = Outs(name)
-        self.destinations = DestinationTable(self.outs, self._forget)
+        self.overrides = WorkerOverrides(name)
+        self.destinations = DestinationTable(self.overrides, self._forget)
         self.clock = clock
         self.counters = counters
         self.ports: dict[str, CallPort] = {}
@@ -519,12 +519,12 @@
     def legacy(self) -> bytes:
         """What a successor may go on from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
-        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.table.active_rows), names,
-                     self.clock.base)
+        return leave(self.balancer, self.overrides.scheduler, self.clock.now(), dict(self.table.active_rows),
+                     names, self.clock.base)
 
     def inherit(self, data: bytes) -> bool:
         """Go on from what a process of this scheduler left; False if there is nothing to believe."""
-        page = read(data, self.outs.scheduler, self.clock.now(), self.clock.base)
+        page = read(data, self.overrides.scheduler, self.clock.now(), self.clock.base)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
             take(self.balancer, page, dict(self.table.active_rows), numbers)
@@ -534,7 +534,8 @@
         """How many destinations are listed, and how many of them are out by hand or ruled out for now."""
         now = self.clock.now()
         known = self.balancer.fleet.workers
-        avoided = sum(self.outs.holds(d.listed.name) or (d.number in known and known[d.number].struck_until > now)
+        avoided = sum(self.overrides.is_out(d.listed.name)
+                      or (d.number in known and known[d.number].struck_until > now)
                       for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), avoided
 
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -12,7 +12,7 @@
 
 from .interface import ListedWorker, ListKind, WorkerState
 from .messages import Destination, Listed, identity
-from .ops.out import Outs
+from .ops.out import WorkerOverrides
 from .start_times import StartTimes
 
 EVER_MOST = 65_536  # names of destinations that were once listed; the longest unlisted is forgotten
@@ -21,9 +21,9 @@
 class DestinationTable:
     """Owns the destinations, by number."""
 
-    def __init__(self, outs: Outs, forget: Callable[[Destination], None]) -> None:
+    def __init__(self, overrides: WorkerOverrides, forget: Callable[[Destination], None]) -> None:
         """``outs``: who is out by hand; ``forget`` is called with each that restarts, moves or goes."""
-        self.outs = outs
+        self.overrides = overrides
         self.by_number: dict[int, Destination] = {}
         self._forget = forget
         self._numbers: dict[tuple[str, str], int] = {}  # by source and name
@@ -114,7 +114,7 @@
             del self._numbers[source, entry.name], self.by_number[number]
         else:
             known.said = entry.state
-            if entry.state == WorkerState.READY and self.outs.holds(entry.name):
+            if entry.state == WorkerState.READY and self.overrides.is_out(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             known.listed = entry
         started_at = self._starts.on_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
--- a/gaphub/ops/shelf.py
+++ b/gaphub/ops/shelf.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from ..metrics import Counters
-from .out import Outs
+from .out import WorkerOverrides
 
 LOOK_S = 0.05  # between two looks at the page: well within the shortest grace of a drain, 250 ms, and a hold-up
 LEAVE_S = 1.0  # between two pages of what was measured
@@ -27,16 +27,16 @@
 class Shelf:
     """The page of one scheduler; ``folder``: ``$TMPDIR``, or None: nothing is left to others."""
 
-    def __init__(self, folder: str | None, outs: Outs, counters: Counters, changed: Callable[[list[str]], None]
-                 ) -> None:
-        name = re.sub(r"[^A-Za-z0-9_-]", "_", outs.scheduler) or "gaphub"
+    def __init__(self, folder: str | None, overrides: WorkerOverrides, counters: Counters,
+                 changed: Callable[[list[str]], None]) -> None:
+        name = re.sub(r"[^A-Za-z0-9_-]", "_", overrides.scheduler) or "gaphub"
         self._path = Path(folder) / f"gaphub-{name}.out" if folder else None
         self._own = self._path.with_suffix(f".{os.getpid()}.serving") if self._path else None
         self._lock = -1  # the descriptor of this process's lock, while it serves
         self._began_ns = 0
         self._serves = False
         self._owed = False  # whether the words have yet to be written
-        self._outs = outs
+        self._overrides = overrides
         self._counters = counters
         self._changed = changed
         self._seen: tuple[int, int, int] | None = None
@@ -46,7 +46,7 @@
         if self._path is None:
             return
         self.look()
-        self._owed = not self._write(self._path, self._outs.encode(), lasting=True)
+        self._owed = not self._write(self._path, self._overrides.encode(), lasting=True)
         if not self._owed:
             self._seen = self._state()
 
@@ -109,14 +109,14 @@
             data = self._path.read_bytes() if state[2] <= PAGE_MOST else b""
         except OSError:
             return
-        words = self._outs.decode(data)
+        words = self._overrides.decode(data)
         if words is None:
             self._counters.log("ops.page_not_believed", f"{len(data)} bytes")
             return
-        if changed := self._outs.merge(words):
+        if changed := self._overrides.merge(words):
             self._counters.add("ops.words_taken", len(changed))
             self._changed(changed)
-        if self._outs.words() != words:
+        if self._overrides.entries() != words:
             self.put()  # written at the same moment as another's: both hold the whole again after this
 
     # -- who serves --
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -21,7 +21,7 @@
 from gaphub.interface import ClassSettings, Effect
 from gaphub.lab.world import Agent, Workers
 from gaphub.ops import legacy, retune
-from gaphub.ops.out import Outs, Word
+from gaphub.ops.out import Override, WorkerOverrides
 
 from .fake import World, entry
 from .processes import Process, counters, job, job_request, running
@@ -217,35 +217,36 @@
     asyncio.run(play())
 
 
-WORD = st.builds(Word, st.sampled_from("abcd"), st.floats(0, 100), st.booleans())
+WORD = st.builds(Override, st.sampled_from("abcd"), st.floats(0, 100), st.booleans())
 
 
 @given(st.lists(WORD, max_size=12), st.lists(WORD, max_size=12))
-def test_two_processes_come_to_hold_the_same_words_whatever_the_order(one: list[Word], other: list[Word]) -> None:
-    a, b = Outs("n0"), Outs("n0")
+def test_two_processes_come_to_hold_the_same_words_whatever_the_order(one: list[Override], other: list[Override]
+                                                                      ) -> None:
+    a, b = WorkerOverrides("n0"), WorkerOverrides("n0")
     for word in one:
         a.merge([word])
     for word in reversed([*one, *other]):
         b.merge([word])
     a.merge(other)
-    assert a.words() == b.words()
-    late = max((w.at for w in a.words()), default=0.0)
-    a.say(late - 50.0, "a", True)  # a clock that was put back: the operator's word holds all the same
-    assert a.holds("a")
-    b.merge(a.words())
-    assert b.holds("a")
+    assert a.entries() == b.entries()
+    late = max((w.at for w in a.entries()), default=0.0)
+    a.record(late - 50.0, "a", True)  # a clock that was put back: the operator's word holds all the same
+    assert a.is_out("a")
+    b.merge(a.entries())
+    assert b.is_out("a")
 
 
 @given(st.binary(max_size=40), st.integers(0, 10_000))
 def test_a_torn_or_foreign_page_is_not_believed(junk: bytes, cut: int) -> None:
-    outs = Outs("n0")
-    outs.say(1.0, "s-1", True)
-    page = outs.encode()
-    assert outs.decode(page) == outs.words()
-    assert outs.decode(page[:cut % len(page)]) is None
-    assert outs.decode(page + b" ") is None
-    assert outs.decode(junk) is None
-    assert Outs("n1").decode(page) is None
+    overrides = WorkerOverrides("n0")
+    overrides.record(1.0, "s-1", True)
+    page = overrides.encode()
+    assert overrides.decode(page) == overrides.entries()
+    assert overrides.decode(page[:cut % len(page)]) is None
+    assert overrides.decode(page + b" ") is None
+    assert overrides.decode(junk) is None
+    assert WorkerOverrides("n1").decode(page) is None
 
 
 CLASS = st.builds(ClassSettings, st.sampled_from([100.0, 200.0]), st.just(5000.0),
