--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -33,7 +33,7 @@
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
 from .ops.retune import RELOADABLE_SETTINGS
-from .ops.shelf import Shelf
+from .ops.shelf import SharedFiles
 from .store import Store
 from .tasks import Tasks
 
@@ -109,7 +109,7 @@
             **(address.status() if address is not None else {}), "counters": counters.snapshot()}
 
 
-def ops_for(listen: Address, config: Config, core: Core, counters: Counters, shelf: Shelf,
+def ops_for(listen: Address, config: Config, core: Core, counters: Counters, shared_files: SharedFiles,
             inbound: Inbound, destinations: DestinationSet) -> Ops:
     """The operators' address, wired to who knows the answers."""
 
@@ -118,7 +118,7 @@
             return 404
         if not core.overrides.record(core.clock.now(), worker, out):
             return 507
-        shelf.put()
+        shared_files.save_overrides()
         core.moved_by_hand([worker])
         return 200
 
@@ -167,16 +167,16 @@
         **({"gearman": gearmen.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
-    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.overrides, counters,
-                  core.moved_by_hand)
-    shelf.look()  # before any list: who is out is not sent to for a moment
-    ops = None if config.admin is None else ops_for(config.admin, config, core, counters, shelf, inbound,
+    shared_files = SharedFiles(os.environ.get("TMPDIR") if config.admin else None, core.overrides, counters,
+                               core.moved_by_hand)
+    shared_files.poll_overrides()  # before any list: who is out is not sent to for a moment
+    ops = None if config.admin is None else ops_for(config.admin, config, core, counters, shared_files, inbound,
                                                           destinations)
     core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearmen}
     core.list_port = destinations
     core.peer_port = peers
     destinations.start_from_known()
-    if core.inherit(shelf.legacy()):
+    if core.inherit(shared_files.read_state_snapshot()):
         counters.add("ops.inherited")
     actors = Tasks(counters)
     try:
@@ -186,8 +186,8 @@
         await admin.open()
         if ops is not None:
             await ops.open()
-            actors.start(shelf.run())
-            actors.start(shelf.leave(core.legacy))
+            actors.start(shared_files.run())
+            actors.start(shared_files.write_state_snapshots(core.legacy))
         if address is not None:
             await address.open()
             reload.also.append(address.node.reload_keys)
@@ -198,16 +198,16 @@
                      sinks.run_collectd(), sinks.run_log(), reload.run(destinations, core)):
             actors.start(work)
         inbound.handler.ready = True
-        shelf.serving()
+        shared_files.start_serving()
         counters.add("ready")
         if address is not None:
             address.node.set_ready(True)
         await stop.wait()
         gearmen.leave()
         peers.leave()
-        if successor := bool(shelf.others_began_ns()):
+        if successor := bool(shared_files.others_serving_since_ns()):
             await peers.close()  # the kernel gives datagrams to one of two sockets: they are the successor's now
-        leaves = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
+        leaves = [inbound.leave(peers.others_serve, successor, SECOND if shared_files.is_oldest else FIRST)]
         if address is not None:
             leaves.append(address.leave())
         if moving is not None:
@@ -215,7 +215,7 @@
         await asyncio.gather(*leaves)
     finally:
         await inbound.close()
-        shelf.close()
+        shared_files.close()
         if moving is not None:
             await moving.close()
         if address is not None:
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -40,7 +40,7 @@
 )
 from .metrics import Counters
 from .ops.figures import JobStats
-from .ops.legacy import leave, read, take
+from .ops.legacy import decode_state, encode_state, restore_state
 from .ops.out import WorkerOverrides
 from .ops.retune import effective_settings, initial_table, updated_table
 from .request_log import describe
@@ -519,15 +519,15 @@
     def legacy(self) -> bytes:
         """What a successor may go on from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
-        return leave(self.balancer, self.overrides.scheduler, self.clock.now(), dict(self.table.active_rows),
-                     names, self.clock.base)
+        return encode_state(self.balancer, self.overrides.scheduler, self.clock.now(),
+                            dict(self.table.active_rows), names, self.clock.base)
 
     def inherit(self, data: bytes) -> bool:
         """Go on from what a process of this scheduler left; False if there is nothing to believe."""
-        page = read(data, self.overrides.scheduler, self.clock.now(), self.clock.base)
+        page = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.base)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            take(self.balancer, page, dict(self.table.active_rows), numbers)
+            restore_state(self.balancer, page, dict(self.table.active_rows), numbers)
         return page is not None
 
     def targets(self) -> tuple[int, int]:
--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -15,13 +15,13 @@
 from .page import seal, unseal
 
 FORMAT = "gaphub-legacy-2"
-AGE_MS = 5_000.0  # an older page is of a process that ended, or stood still
-SAME_START_MS = 5.0  # two processes reckon one start alike but for so much
-MOMENTS = ("served_at", "began")  # of what is measured: moments of the clock
+MAX_AGE_MS = 5_000.0  # an older page is of a process that ended, or stood still
+START_TOLERANCE_MS = 5.0  # two processes reckon one start alike but for so much
+TIMESTAMPS = ("served_at", "began")  # of what is measured: moments of the clock
 MEASURED = ("service", "ran", "mean_cost", "served_cost", "served_at", "strain", "local_busy", "began")
 
 
-class Profile(msgspec.Struct, frozen=True, array_like=True):
+class ClassSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """One class: its rules as they were, its mean and the samples of its workers."""
 
     rules: ClassSettings
@@ -31,7 +31,7 @@
     samples: dict[str, tuple[float, float, float]]  # weight, weighted sum, when
 
 
-class Legacy(msgspec.Struct, frozen=True):
+class StateSnapshot(msgspec.Struct, frozen=True):
     """What is left; times in ms of the clock of the process that wrote it."""
 
     format: str
@@ -40,12 +40,12 @@
     base: float  # what that clock adds to the machine's monotonic one, which all processes share
     values: dict[str, float]
     free: dict[int, tuple[float, float]]  # by kind: the mean of idle workers' free slots, and the most seen
-    classes: dict[str, Profile]
+    classes: dict[str, ClassSnapshot]
     cold: dict[str, tuple[float, float, float, float]]  # start, the two allowances, when they were last so
 
 
-def leave(balancer: Balancer, scheduler: str, now: float, live: dict[str, int], names: dict[int, str],
-          base: float = 0.0) -> bytes:
+def encode_state(balancer: Balancer, scheduler: str, now: float, live: dict[str, int], names: dict[int, str],
+                 base: float = 0.0) -> bytes:
     """A page for the successor; ``live``: class names and rows, ``names``: the workers' ids by number.
 
     ``base``: what the clock adds to the machine's monotonic one.
@@ -54,28 +54,28 @@
     for name, row in live.items():
         t = balancer.class_types[row]
         samples = {names[w]: (s[0], s[1], s[2]) for w, s in t.samples.items() if w in names}
-        rows[name] = Profile(balancer.set.classes[row], t.mean, t.served, balancer.longest[row], samples)
+        rows[name] = ClassSnapshot(balancer.set.classes[row], t.mean, t.served, balancer.longest[row], samples)
     r = balancer.reports
     cold = {names[w.id]: (w.ready_at, w.cold.light, w.cold.heavy, w.cold.counted_at)
             for w in balancer.fleet.workers.values() if w.ready_at > 0.0 and w.id in names}
-    page = Legacy(FORMAT, scheduler, now, base, {key: float(getattr(balancer, key)) for key in MEASURED},
+    page = StateSnapshot(FORMAT, scheduler, now, base, {key: float(getattr(balancer, key)) for key in MEASURED},
                   {kind: (mean, r.most_free.get(kind, mean)) for kind, mean in r.idle_free.items()}, rows, cold)
     return seal(msgspec.json.encode(page))
 
 
-def read(data: bytes, scheduler: str, now: float, base: float = 0.0) -> Legacy | None:
+def decode_state(data: bytes, scheduler: str, now: float, base: float = 0.0) -> StateSnapshot | None:
     """A page, its moments on this clock; None if it is torn, old, of another form or of another scheduler."""
-    page = unseal(data, Legacy)
+    page = unseal(data, StateSnapshot)
     if page is None or page.format != FORMAT or page.scheduler != scheduler:
         return None
     # By the monotonic clock: the wall clock may have been stepped between the starts of the two processes.
     page = _moved(page, base - page.base)
-    return page if 0.0 <= now - page.at <= AGE_MS else None
+    return page if 0.0 <= now - page.at <= MAX_AGE_MS else None
 
 
-def _moved(page: Legacy, by: float) -> Legacy:
+def _moved(page: StateSnapshot, by: float) -> StateSnapshot:
     """The same page with all its moments later by so much."""
-    values = {key: value + by if key in MOMENTS else value for key, value in page.values.items()}
+    values = {key: value + by if key in TIMESTAMPS else value for key, value in page.values.items()}
     classes = {name: msgspec.structs.replace(profile, samples={
         worker: (weight, total, at + by) for worker, (weight, total, at) in profile.samples.items()})
         for name, profile in page.classes.items()}
@@ -85,7 +85,7 @@
                                    cold=cold)
 
 
-def take(balancer: Balancer, page: Legacy, live: dict[str, int], numbers: dict[str, int]) -> None:
+def restore_state(balancer: Balancer, page: StateSnapshot, live: dict[str, int], numbers: dict[str, int]) -> None:
     """Let a fresh Balancer go on from a page; ``numbers``: the listed workers' numbers by id."""
     for key in MEASURED:
         if key in page.values:
@@ -107,5 +107,5 @@
                 t.samples[number] = [*sample, workers[number].kind]
     for worker, (started, light, heavy, at) in page.cold.items():
         w = workers.get(numbers.get(worker, 0))
-        if w is not None and abs(w.ready_at - started) <= SAME_START_MS:
+        if w is not None and abs(w.ready_at - started) <= START_TOLERANCE_MS:
             w.cold.light, w.cold.heavy, w.cold.counted_at = light, heavy, at
--- a/gaphub/ops/shelf.py
+++ b/gaphub/ops/shelf.py
@@ -24,7 +24,7 @@
 PAGE_MOST = 4 * 1024 * 1024  # bytes
 
 
-class Shelf:
+class SharedFiles:
     """The page of one scheduler; ``folder``: ``$TMPDIR``, or None: nothing is left to others."""
 
     def __init__(self, folder: str | None, overrides: WorkerOverrides, counters: Counters,
@@ -41,11 +41,11 @@
         self._changed = changed
         self._seen: tuple[int, int, int] | None = None
 
-    def put(self) -> None:
+    def save_overrides(self) -> None:
         """Write the words down, and what another process wrote meanwhile with them."""
         if self._path is None:
             return
-        self.look()
+        self.poll_overrides()
         self._owed = not self._write(self._path, self._overrides.encode(), lasting=True)
         if not self._owed:
             self._seen = self._state()
@@ -70,13 +70,13 @@
     def _pay(self) -> None:
         """Do what could not be done before: a folder may fail for a while, and what was said yes to is owed."""
         if self._owed:
-            self.put()
+            self.save_overrides()
         if self._serves and self._lock < 0:
-            self.serving()
+            self.start_serving()
 
     # -- what a process has measured --
 
-    def legacy(self) -> bytes:
+    def read_state_snapshot(self) -> bytes:
         """The page that a process left last; empty: none."""
         if self._path is None:
             return b""
@@ -86,7 +86,7 @@
         except OSError:
             return b""
 
-    async def leave(self, make: Callable[[], bytes]) -> None:
+    async def write_state_snapshots(self, make: Callable[[], bytes]) -> None:
         """Leave a page every second, for ever."""
         while self._path is not None:
             await asyncio.sleep(LEAVE_S)
@@ -100,7 +100,7 @@
             return None
         return found.st_ino, found.st_mtime_ns, found.st_size
 
-    def look(self) -> None:
+    def poll_overrides(self) -> None:
         """Take in what another process wrote since the last look; write anew what it had not heard of."""
         if self._path is None or (state := self._state()) == self._seen or state is None:
             return
@@ -117,11 +117,11 @@
             self._counters.add("ops.words_taken", len(changed))
             self._changed(changed)
         if self._overrides.entries() != words:
-            self.put()  # written at the same moment as another's: both hold the whole again after this
+            self.save_overrides()  # written at the same moment as another's: both hold the whole again after this
 
     # -- who serves --
 
-    def serving(self) -> None:
+    def start_serving(self) -> None:
         """Say that this process serves from now on, until it ends."""
         if self._own is None:
             return
@@ -135,7 +135,7 @@
         except OSError as error:
             self._counters.log("ops.not_written", str(error))
 
-    def others_began_ns(self) -> list[int]:
+    def others_serving_since_ns(self) -> list[int]:
         """When each other process of this scheduler that serves began to; ns (monotonic), 0: unknown."""
         if self._path is None:
             return []
@@ -143,14 +143,14 @@
         return [_began_ns(path) for path in locks if path != self._own and _held(path)]
 
     @property
-    def began_first(self) -> bool:
+    def is_oldest(self) -> bool:
         """Whether this process began to serve before all others of this scheduler that do."""
-        return all(began == 0 or began > self._began_ns for began in self.others_began_ns())
+        return all(began == 0 or began > self._began_ns for began in self.others_serving_since_ns())
 
     def close(self) -> None:
         """Say that this process serves no longer."""
         if self._owed:
-            self.put()
+            self.save_overrides()
         self._serves = False
         if self._own is not None and self._lock >= 0:
             with suppress(OSError):
@@ -162,7 +162,7 @@
         """Look now and then, for ever."""
         while True:
             await asyncio.sleep(LOOK_S)
-            self.look()
+            self.poll_overrides()
             self._pay()
 
 
