--- a/gaphub/benchlink.py
+++ b/gaphub/benchlink.py
@@ -8,7 +8,7 @@
 
 from . import wire
 from .config import parse_settings
-from .interface import ListedWorker, ListKind, NoteKind, Request
+from .interface import AttemptEvent, ListedWorker, ListKind, Request
 from .logic import Balancer
 
 
@@ -49,7 +49,7 @@
         """Close idle connections."""
         self.host.out.append(wire.FREE_LINKS.pack(71, self.inst, worker))
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Message one peer, or all (-1)."""
         at = self.host.put_tail(data)
         self.host.out.append(wire.WRITE_PEER.pack(72, self.inst, peer & 0xFFFF, at, len(data)))
@@ -150,9 +150,9 @@
                          record[10:10 + record[9]])
         elif code == wire.NOTE:
             _, _, job, sort, _, amount, go = record
-            if sort == NoteKind.STARTED:
+            if sort == AttemptEvent.STARTED:
                 b.on_started(now, job, go)
-            elif sort == NoteKind.PROGRESS:
+            elif sort == AttemptEvent.PROGRESS:
                 b.on_progress(now, job, go, amount)
         elif code == wire.BELL:
             b.on_timer(now, record[2])
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -413,7 +413,7 @@
         job = self._jobs.get(request)
         if job is not None:
             ending = Ending.REFUSED if may_repeat(self.settings, job) else Ending.FAILED
-            job.why = f":{self.balancer.why}"
+            job.why = f":{self.balancer.give_up_reason}"
             self.counters.add("given_up.tried" if job.calls else "given_up.untried")
             if job.fence is not None and not job.fence.holds():
                 retry_after_ms = job.fence.return_ms
@@ -424,7 +424,7 @@
         """Final answer: failed."""
         job = self._jobs.get(request)
         if job is not None:
-            job.why = f":{self.balancer.why}"
+            job.why = f":{self.balancer.give_up_reason}"
             self._answer(job, Answer(Ending.FAILED))
             self._settle(job)
 
@@ -468,7 +468,7 @@
         if destination := self.destinations.get(worker):
             self.ports[destination.source].close_idle(destination)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a datagram to a peer, or all (-1)."""
         if self.peer_port is not None:
             self.peer_port.tell(peer, data)
@@ -534,7 +534,7 @@
         """How many destinations are listed, and how many of them are out by hand or ruled out for now."""
         now = self.clock.now()
         known = self.balancer.fleet.workers
-        avoided = sum(self.outs.holds(d.listed.name) or (d.number in known and known[d.number].struck_until > now)
+        avoided = sum(self.outs.holds(d.listed.name) or (d.number in known and known[d.number].ejected_until > now)
                       for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), avoided
 
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -54,11 +54,11 @@
 
     def saw_clock(self, ahead_ms: float) -> None:
         """The wall clock is ahead of the monotonic one by so much now."""
-        self._starts.saw_clock(ahead_ms)
+        self._starts.record_wall_clock(ahead_ms)
 
     def heard_source(self, now: float) -> None:
         """Discovery answered, with news or without."""
-        self._starts.heard(now)
+        self._starts.record_answer(now)
 
     def take(self, now: float, source: str, kind: int, entries: Sequence[Listed]
              ) -> tuple[int, list[ListedWorker]]:
@@ -117,7 +117,7 @@
             if entry.state == WorkerState.READY and self.outs.holds(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             known.listed = entry
-        started_at = self._starts.on_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
+        started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
         return ListedWorker(entry.state, entry.kind, entry.cell, entry.weight, entry.zone, number,
                             started_at, entry.able, known.identity)
 
--- a/gaphub/interface.py
+++ b/gaphub/interface.py
@@ -64,7 +64,7 @@
     FAILED = 3  # a watch or a fetch failed, or the watch was dropped; no entries
 
 
-class NoteKind(IntEnum):
+class AttemptEvent(IntEnum):
     """News of an attempt that is still out."""
 
     STARTED = 1
@@ -81,7 +81,7 @@
     zone: int
     worker: int
     ready_at_ms: float  # when it last started; 0 if that was long ago
-    able: int = -1  # the classes that it can run, a bit for each; -1: any
+    class_mask: int = -1  # the classes that it can run, a bit for each; -1: any
     identity: int = 0  # the same at every scheduler, whatever order lists had; 0: ``worker`` is
 
 
@@ -221,7 +221,7 @@
     def close_idle(self, worker: int) -> None:
         """Close idle connections to a worker."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a short message to one peer; -1: to all."""
 
     def log(self, text: str) -> None:
--- a/gaphub/lab/model.py
+++ b/gaphub/lab/model.py
@@ -276,7 +276,7 @@
     def close_idle(self, worker: int) -> None:
         """Connections are not modelled."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Datagrams arrive after a while."""
         for i, g in enumerate(self.fleet.gateways):
             if g is not self and peer in (-1, i):
--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -98,8 +98,8 @@
     """The decisions of one gateway; see ``interface.Events`` for what each event means."""
 
     def __init__(self, now: float, settings: Settings, seed: int, actions: Actions) -> None:
-        self.set = settings
-        self.act = actions
+        self.settings = settings
+        self.actions = actions
         self.rng = random.Random(seed)
         self.fleet = Fleet(settings.kinds)
         self.looks = (settings.may_probe and settings.reports_in_probes
@@ -127,12 +127,12 @@
         self.reach = ZoneReach(settings.zones)
         self.full = 0.0  # the share of attempts that are turned away as full
         self.strain = 0.0  # the share of own jobs that start late, else of reports without a free slot
-        self.longest = [0.0] * len(settings.classes)  # the longest wait that a client has had left
+        self.longest_left_ms = [0.0] * len(settings.classes)  # the longest wait that a client has had left
         self.quotas = TenantQuotas(now, len(settings.tenants))
         self.watching = False
         self.list_wait = RETRY_LIST_MS
         self.lines = LOG_LINES
-        self.why = ""  # why the request last given up was
+        self.give_up_reason = ""  # why the request last given up was
         self.occupancy = exchange_for(now, settings.me, settings.balancers - 1, settings.may_tell_peers,
                                       settings.prices.get("peer", 0.0))
         self.tells = not isinstance(self.occupancy, NoExchange)
@@ -150,18 +150,19 @@
             if self.watching:
                 self._log("worker list out of reach")
             self.watching = False
-            wait = min(self.list_wait, self.set.ask_within_ms * 0.8) * (0.5 + self.rng.random())
+            wait = min(self.list_wait, self.settings.ask_within_ms * 0.8) * (0.5 + self.rng.random())
             self.list_wait *= 2.0
             self._at(now + wait, _ALARM_LIST, None)
         else:
-            if kind != ListKind.CACHED and self.set.must_ask:
+            if kind != ListKind.CACHED and self.settings.must_ask:
                 self.watching = True
                 self.list_wait = RETRY_LIST_MS
             for wid in self.fleet.apply(kind, entries, self._cold_phase):
                 self._forget(wid)
             workers, change = self.fleet.workers, kind == ListKind.CHANGES
             ids = [e.worker for e in entries if e.worker in workers] if change else list(workers)
-            slots_out, identities = {i: workers[i].out for i in ids}, {i: workers[i].identity for i in ids}
+            slots_out, identities = ({i: workers[i].slots_out for i in ids},
+                                     {i: workers[i].identity for i in ids})
             if change:  # of a long list only what has changed
                 gone = [e.worker for e in entries if e.worker not in workers]
                 self.occupancy.update_workers(now, slots_out, identities, gone)
@@ -169,7 +170,7 @@
                 self.occupancy.set_workers(now, slots_out, identities)
             self._tell(())
             for e in entries:
-                if e.state == WorkerState.READY and now - e.ready_at_ms < self.set.cold_ms:
+                if e.state == WorkerState.READY and now - e.ready_at_ms < self.settings.cold_ms:
                     self.reach.comes_back(e.zone)
             self.warm = sum(w.ready_at <= 0.0 for w in self.fleet.ready.values())
             for t in self._types():
@@ -177,15 +178,15 @@
         self._arm(now)
 
     def _cold_phase(self, identity: int) -> float:
-        return cold_start.phase_of(self.set.me, self.set.balancers, identity, self.rng.random())
+        return cold_start.phase_of(self.settings.me, self.settings.balancers, identity, self.rng.random())
 
     def on_settings(self, settings: Settings, fresh: Sequence[int]) -> None:
         """Other settings; the classes of some rows, known or one past them, are others from now on."""
-        self.set = settings
+        self.settings = settings
         for c in fresh:
             self.class_types[c:c + 1] = [JobType(settings.kinds, log(settings.classes[c].aim_ms))]
             self.hint_types[c:c + 1] = [JobType(settings.kinds, 0.0)]
-            self.longest[c:c + 1] = [0.0]
+            self.longest_left_ms[c:c + 1] = [0.0]
         self.key_types = {k: t for k, t in self.key_types.items() if k[0] not in fresh}
 
     def _types(self) -> list[JobType]:
@@ -218,13 +219,14 @@
         if request.id in self.jobs:
             return
         c = request.class_index
-        cls = self.set.classes[c]
+        cls = self.settings.classes[c]
         job = Job(request, cls, *self._type_of(request), now)
         self.jobs[job.id] = job
-        first = self.longest[c] = max(self.longest[c], request.left_ms)
+        first = self.longest_left_ms[c] = max(self.longest_left_ms[c], request.left_ms)
         begun = now - (first - request.left_ms)  # a later try has less time left than a first one
-        job.over_share = not self.quotas.admits(now, request.tenant, self.set.tenants, self.set.balancers)
-        typical = exp(job.type.mean)
+        job.over_share = not self.quotas.admits(
+            now, request.tenant, self.settings.tenants, self.settings.balancers)
+        typical = exp(job.type.mean_log)
         if job.hint > 0:
             work = job.hint * typical
             job.aim_at = begun + cls.aim_ms + cls.aim_stretch * job.hint
@@ -233,7 +235,7 @@
             work = typical
             job.aim_at = begun + cls.aim_ms + cls.aim_stretch * typical * DEAD_TIMES
         self.mean_cost += (job.cost - self.mean_cost) * 0.02
-        end = job.ends - 2 * self.set.tick_ms
+        end = job.ends - 2 * self.settings.tick_ms
         if cls.late_worth <= 0:
             if now + (0.8 * work if job.hint > 0 else 0.0) > job.aim_at:
                 self._give_up(job, now, "hopeless")  # a retry that cannot be in time any more
@@ -241,7 +243,7 @@
                 return
             if job.hint > 0:
                 end = min(end, job.aim_at + AIM_SLIP * (job.aim_at - begun))
-                if self.set.tells_start:
+                if self.settings.tells_start:
                     self._at(job.aim_at - self._sure_ms(job, min(self.run)), _ALARM_START, job)
         self._at(end, _ALARM_END, job)
         if not (self.looks and self._look(job, now)):
@@ -253,7 +255,8 @@
     def _look(self, job: Job, now: float) -> bool:
         """Draw a few workers in proportion to their shares; where counts do not tell, probe them first."""
         near = self._own_zone_reached and self.local_busy < LOCAL_BUSY
-        pool = self.fleet.pool((self.set.zone,) if near and not job.rounds else (), job.cls.kind, job.index)
+        pool = self.fleet.pool(
+            (self.settings.zone,) if near and not job.rounds else (), job.cls.kind, job.index)
         usable = [w for w in pool if w not in job.looked and self._usable(w, job, now) == 2]
         fresh = self._draw(job, usable, LOOKS, now)
         job.rounds += 1
@@ -267,7 +270,7 @@
             waiting = self.looking.get(w.id)
             if waiting is None:
                 self.looking[w.id] = [job]
-                self.act.probe(w.id)
+                self.actions.probe(w.id)
             else:
                 waiting.append(job)
             job.looks_out += 1
@@ -319,13 +322,13 @@
 
     @property
     def _own_zone_reached(self) -> bool:
-        return self.set.zones > 1 and not self.reach.is_cut_off(self.set.zone)
+        return self.settings.zones > 1 and not self.reach.is_cut_off(self.settings.zone)
 
     def _usable(self, w: Worker, job: Job, now: float) -> int:
         """0: must not be used; 1: health speaks against it; 2: may be used."""
         if w.ready_at > 0.0 and not self._cold_allows(w, job, now):
             return 0
-        ill = w.struck_until > now or (w.trial and w.out > 0) or (
+        ill = w.ejected_until > now or (w.trial and w.slots_out > 0) or (
             w.errors >= ERRORS_SOME and self._fails(w, job, -1, now))
         # It said 'full' where counts say free: it drains, and the list is late.
         full = w.full_until > now and job.slots >= w.full_slots and self._slots(w, now) > 0.0
@@ -333,20 +336,20 @@
 
     def _cold_allows(self, w: Worker, job: Job, now: float) -> bool:
         """Whether a cold worker may be sent a job, by what it bears from all gateways together."""
-        if now - w.ready_at >= self.set.cold_ms:
+        if now - w.ready_at >= self.settings.cold_ms:
             w.ready_at = -w.ready_at  # warm; the list names its start again, so it is kept
             self.warm += 1
             return True
         cost, bears = job.cost / self.mean_cost, cold_start.bears(self._cold_budget(w, job, now))
-        per_window = cold_start.PART * bears / self.set.balancers
-        w.cold.earn(now, per_window / self.set.fall_ms)
+        per_window = cold_start.PART * bears / self.settings.balancers
+        w.cold_allowance.earn(now, per_window / self.settings.fall_ms)
         if cost > cold_start.ONE_REQUEST * bears:
             return False
         if (slots := self._slots(w, now)) > 0.0 and (part := self.occupancy.heard_part) > 0.0:
             # The sum over the gateways that are heard is known: it holds for them together, and they have
             # their part of what the rule lets all of them send.  Others may be cut off, and send as well.
             return (out := self._out(w)) <= 0.0 or out + job.slots <= slots * part
-        return w.cold.admits(cost)
+        return w.cold_allowance.admits(cost)
 
     def _cold_budget(self, w: Worker, job: Job, now: float) -> float:
         """Mean jobs that the rule allows a cold worker now in ``fall_ms``, guessed by what warm ones bear.
@@ -355,13 +358,13 @@
         """
         t = job.type
         slow = min(1.0, t.kind_rates[w.kind] * len(self.fleet.ready) / t.total)
-        window = self.set.fall_multiple * self.set.balancers * self.set.fall_ms
+        window = self.settings.fall_multiple * self.settings.balancers * self.settings.fall_ms
         return window * self._served_rate(now) * self._warmth(w, now) * slow
 
     def _warmth(self, w: Worker, now: float) -> float:
         """The present part of a cold worker's capacity, at the least."""
-        share = min(1.0, max(0.0, now - w.ready_at) / self.set.cold_ms)
-        return self.set.cold_from + (1.0 - self.set.cold_from) * share
+        share = min(1.0, max(0.0, now - w.ready_at) / self.settings.cold_ms)
+        return self.settings.cold_from + (1.0 - self.settings.cold_from) * share
 
     def _served_rate(self, now: float) -> float:
         """Mean jobs a ms that it gets served by a warm worker; it may send many times that."""
@@ -394,34 +397,34 @@
         """The slots of a worker, where sums of the gateways' counts tell who is free; else 0."""
         if not self.tells or not self.occupancy.complete(now):
             return 0.0
-        slots = self.reports.idle_free.get(w.kind, 0.0)
+        slots = self.reports.idle_free_slots.get(w.kind, 0.0)
         if w.ready_at > 0.0:  # cold: as many as a warm one's would run at once, and all of them slowly
             return min(1.0, slots) * max(1.0, round(slots * self._warmth(w, now)))
         return round(slots)
 
     def _out(self, w: Worker) -> float:
         """The slots that all gateways have out at a worker."""
-        return w.out + self.occupancy.out(w.id)
+        return w.slots_out + self.occupancy.out(w.id)
 
     def _wait_ms(self, w: Worker, job: Job, now: float) -> float:
         """How long a job sent now would wait there."""
         slots = self._slots(w, now)
         if slots <= 0.0:
             return self.reports.wait_ms(now, w, self.service)
-        slow = self._usual_ms(job, w) / exp(job.type.mean) / (job.hint if job.hint > 0 else 1.0)
+        slow = self._usual_ms(job, w) / exp(job.type.mean_log) / (job.hint if job.hint > 0 else 1.0)
         return max(0.0, self._out(w) + job.slots - slots) / slots * self.ran * slow
 
     def _tell_count(self, w: Worker, now: float, more: bool) -> None:
         """Tell the peers, when it is time, that this gateway's count at a worker has changed."""
         if self.tells:
             listed = self.fleet.workers.get(w.id)  # another than ``w`` if dropped and named anew since
-            slots_out = listed.out if listed is not None else 0.0
+            slots_out = listed.slots_out if listed is not None else 0.0
             self._tell(self.occupancy.changed(now, w.id, slots_out, more))
 
     def _tell(self, messages: Sequence[Outgoing]) -> None:
         """Send what the exchange of counts has to say, and note when it wants to be woken."""
         for peer, data in messages:
-            self.act.tell(peer, data)
+            self.actions.send_to_peer(peer, data)
         while (wakeup := self.occupancy.take_wakeup()) is not None:
             self._at(wakeup, _ALARM_EXCHANGE, None)
 
@@ -508,7 +511,7 @@
         # A key seldom asked for has one home in all zones: with one in each, each zone would fetch it.
         near = self._own_zone_reached and (k is None or any(k.has_met(wid, now) for wid in k.met))
         if near and self.local_busy < LOCAL_BUSY and len(job.attempts) < 2:
-            local, tier = self._rank(job, now, self.fleet.pool((self.set.zone,), kind, job.index))
+            local, tier = self._rank(job, now, self.fleet.pool((self.settings.zone,), kind, job.index))
             if tier == 0:
                 return local, 0
             other, other_tier = self._rank(job, now, everywhere)
@@ -519,17 +522,18 @@
 
     def _may_send(self, job: Job, now: float) -> bool:
         """The one place that says whether a further attempt may do harm."""
-        if job.over or len(job.attempts) >= self.set.max_attempts or now >= job.ends - self.set.tick_ms:
+        if (job.over or len(job.attempts) >= self.settings.max_attempts
+                or now >= job.ends - self.settings.tick_ms):
             return False
         effect = job.cls.effect
-        if job.open > 1 or (job.open and (effect == Effect.UNSAFE or not self.set.second_copies)):
+        if job.open > 1 or (job.open and (effect == Effect.UNSAFE or not self.settings.second_copies)):
             return False
         if effect == Effect.SAFE or (job.ran_group is None and not job.open):
             return True
         if effect == Effect.UNSAFE:
             return False
         since = min([job.ran_since] if job.ran_group else [] + [a.sent_at for a in job.attempts if a.open])
-        return now - since < job.cls.window_ms - 2 * self.set.tick_ms
+        return now - since < job.cls.window_ms - 2 * self.settings.tick_ms
 
     def _may_refuse(self, job: Job) -> bool:
         """The one place that says whether 'trying again is harmless' would be true."""
@@ -554,7 +558,7 @@
 
     def _shed(self, job: Job, w: Worker, tier: int, now: float) -> str:
         """Why it is turned away, if so: what is over a tenant's share goes first, then what would wait."""
-        share = self.set.over_share_worth if job.over_share else 1.0
+        share = self.settings.over_share_worth if job.over_share else 1.0
         over = self.strain - SHED_FROM - SHED_VALUE * self._value(job) ** 0.5 * share
         if self.rng.random() * SHED_WIDTH < over or (tier > 0 and share < 0.5):
             return "strain"
@@ -563,30 +567,32 @@
 
     def _values(self) -> list[float]:
         """What a unit of workers' time earns on each class."""
-        if self.set.worth_by_work:
-            return [c.worth for c in self.set.classes]
-        return [c.worth / exp(t.mean) for c, t in zip(self.set.classes, self.class_types, strict=True)]
+        if self.settings.worth_by_work:
+            return [c.worth for c in self.settings.classes]
+        return [c.worth / exp(t.mean_log)
+                for c, t in zip(self.settings.classes, self.class_types, strict=True)]
 
     def _value(self, job: Job) -> float:
         """What this job earns for the slots and time it takes, as a share of the best class's."""
         values = self._values()
         share = values[job.index] / (max(values) or 1.0)
-        return share if self.set.worth_by_work else share / max(1.0, job.slots)
+        return share if self.settings.worth_by_work else share / max(1.0, job.slots)
 
     def _pressing_ms(self, job: Job) -> float:
         """The shortest fixed part of an aim among the classes of no less value: who waits makes them wait."""
         values = self._values()
-        return min(c.aim_ms for c, v in zip(self.set.classes, values, strict=True) if v >= values[job.index])
+        return min(c.aim_ms for c, v in zip(self.settings.classes, values, strict=True)
+                   if v >= values[job.index])
 
     def _saw_start(self, job: Job, delay: float) -> None:
         """Note how late a job starts, by what would be late for the most pressing class of no less value."""
-        if self.set.tells_start and not job.seen_start:
+        if self.settings.tells_start and not job.seen_start:
             job.seen_start = True
             late = delay > STRAIN_LATE * self._pressing_ms(job)
             self.strain += (late - self.strain) * STRAIN_START
 
     def _send_to(self, job: Job, w: Worker, now: float) -> None:
-        local = w.zone == self.set.zone
+        local = w.zone == self.settings.zone
         a = Attempt(job, len(job.attempts), w, now, local)
         job.attempts.append(a)
         job.open += 1
@@ -599,32 +605,32 @@
         if job.key_type is not None:
             job.met = job.key_type.has_met(w.id, now)
             job.key_type.met[w.id] = now
-        w.out += job.slots
+        w.slots_out += job.slots
         w.memory_out += job.memory
         self._tell_count(w, now, more=True)
         if w.ready_at > 0.0:
-            w.cold.spend(job.cost / self.mean_cost)
-        self.act.send(job.id, w.id, 0.0)
+            w.cold_allowance.spend(job.cost / self.mean_cost)
+        self.actions.send(job.id, w.id, 0.0)
         self._at(now + self._patience(a), _ALARM_CHECK, a)
 
     def _patience(self, a: Attempt) -> float:
         """How long to wait for the next sign of an attempt before looking at it."""
-        if self.set.tells_start and a.started_at < 0:
+        if self.settings.tells_start and a.started_at < 0:
             # Long jobs have long slack: they queue up elsewhere later than short ones, and seldom need to.
             slack = a.job.cls.aim_ms + max(0.0, a.job.cls.aim_stretch - 1.0) * a.job.hint
-            usual = START_SLACK * self.start_ms[0 if a.local else 1] + self.set.tick_ms
+            usual = START_SLACK * self.start_ms[0 if a.local else 1] + self.settings.tick_ms
             return max(usual, COPY_SLACK * slack)
-        if self.set.progress_ms > 0 and (a.started_at >= 0 or not self.set.tells_start):
-            return max(QUIET_NOTES * self.set.progress_ms, QUIET_MIN_MS)
+        if self.settings.progress_ms > 0 and (a.started_at >= 0 or not self.settings.tells_start):
+            return max(QUIET_NOTES * self.settings.progress_ms, QUIET_MIN_MS)
         job = a.job
-        usual = exp(job.type.mean) * (job.hint if job.hint > 0 else 1.0)
+        usual = exp(job.type.mean_log) * (job.hint if job.hint > 0 else 1.0)
         return max(QUIET_MIN_MS, QUIET_TIMES * usual)
 
     def _free(self, a: Attempt, now: float) -> None:
         """Its slots are counted no longer."""
         if a.holds:
             a.holds = False
-            a.worker.out -= a.job.slots
+            a.worker.slots_out -= a.job.slots
             a.worker.memory_out -= a.job.memory
             self._tell_count(a.worker, now, more=False)
 
@@ -632,12 +638,12 @@
         """The usual response time of such a job there."""
         t = job.type
         slow = t.total / max(1, len(self.fleet.ready)) / (t.rates.get(w.id) or t.kind_rates[w.kind])
-        return exp(t.mean) * (job.hint if job.hint > 0 else 1.0) * slow
+        return exp(t.mean_log) * (job.hint if job.hint > 0 else 1.0) * slow
 
     def _again(self, a: Attempt, now: float) -> None:
         """An attempt that nothing is heard of: send its job elsewhere where that does no harm."""
         if a.job.cls.effect == Effect.SAFE and now < a.job.aim_at:
-            if self.set.second_copies:
+            if self.settings.second_copies:
                 self._send(a.job, now)
             else:
                 self._cancel(a)  # and its outcome sends the job
@@ -649,7 +655,7 @@
             if not a.open and now >= a.until - 0.02:
                 self._free(a, now)
             return
-        if self.set.tells_start and a.started_at < 0:
+        if self.settings.tells_start and a.started_at < 0:
             # It waits in a queue, which is no sign of illness: striking busy workers would feed a jam.
             if now - job.arrived > STRAIN_LATE * self._pressing_ms(job):
                 self._saw_start(job, now - job.arrived)
@@ -674,14 +680,14 @@
             # Else it may hold its slot, as all others there do; the sums that gateways tell must say so.
             if long and (w.heard_at > a.sent_at or not self.tells):
                 self._free(a, now)  # its connection is silent, or the work is not worth its place
-            if long or self.set.second_copies:
+            if long or self.settings.second_copies:
                 self._again(a, now)
         if a.open and not job.over:
             self._at(now + self._patience(a), _ALARM_CHECK, a)
 
     def _copy(self, job: Job, now: float) -> None:
         """A job that waits tries the next in gap order too; the first start calls the rest off."""
-        if job.cls.effect != Effect.SAFE or not (self.set.may_cancel and self.set.second_copies):
+        if job.cls.effect != Effect.SAFE or not (self.settings.may_cancel and self.settings.second_copies):
             return
         if self.reports.useful:
             return  # reports tell who is free; where a cancel stops nothing, every copy would run
@@ -742,9 +748,9 @@
                 and finish > job.aim_at)
 
     def _cancel(self, a: Attempt) -> None:
-        if self.set.may_cancel and a.open and not a.cancelled:
+        if self.settings.may_cancel and a.open and not a.cancelled:
             a.cancelled = True
-            self.act.cancel(a.job.id, a.index)
+            self.actions.cancel(a.job.id, a.index)
 
     def on_progress(self, now: float, request: int, attempt: int, done: float) -> None:
         """A sign of life from a worker and its attempt."""
@@ -785,18 +791,18 @@
         if w.strikes and (w.errors < ERRORS_ILL or now - w.erred.get(-1, -1e18) >= ERRORS_MS):
             w.strikes = 0
             w.trial = False
-            w.struck_until = -1e18
+            w.ejected_until = -1e18
 
     def _strike(self, w: Worker, now: float, why: str, most: int = STRIKE_MAX) -> None:
         """Rule a worker out for a growing, jittered time; then one job at a time is its trial."""
-        if w.struck_until > now:
+        if w.ejected_until > now:
             return
         if w.strikes == 2:
             self._log(f"worker {w.id} ruled out: {why}")
         times = min(most, 1 << min(w.strikes, 8))
         w.strikes += 1
         w.trial = True
-        w.struck_until = now + STRIKE_MS * times * (0.75 + 0.5 * self.rng.random())
+        w.ejected_until = now + STRIKE_MS * times * (0.75 + 0.5 * self.rng.random())
 
     # -- outcomes and final answers --
 
@@ -883,14 +889,14 @@
 
     def _take_report(self, now: float, w: Worker, report: tuple[float, ...]) -> None:
         r = self.reports
-        fresh, known = report != w.report, len(r.idle_free)
+        fresh, known = report != w.report, len(r.idle_free_slots)
         r.take(now, w, report)
-        if len(r.idle_free) > known:
-            self._tell(self.occupancy.announce_capacity(r.idle_free))
-        if r.useful and fresh and not self.looks and not self.set.tells_start:
+        if len(r.idle_free_slots) > known:
+            self._tell(self.occupancy.announce_capacity(r.idle_free_slots))
+        if r.useful and fresh and not self.looks and not self.settings.tells_start:
             self.strain += ((report[r.slots] < 1.0) - self.strain) * STRAIN_REPORT
         if r.inflight >= 0:
-            self.quotas.saw_report(w.out, report[r.inflight])
+            self.quotas.saw_report(w.slots_out, report[r.inflight])
 
     def _over(self, job: Job) -> None:
         job.over = True
@@ -900,13 +906,13 @@
 
     def _give_up(self, job: Job, now: float, why: str) -> None:
         """The final answer: a refusal where it would be true, else a failure."""
-        self.why = why
+        self.give_up_reason = why
         if self._may_refuse(job):
             # Spread: who is refused together must not come back together.
-            wait = min(RETURN_MS * (0.6 + 0.8 * self.rng.random()), self.set.max_retry_after_ms)
-            self.act.refuse(job.id, wait if self.set.retry_after else 0.0)
+            wait = min(RETURN_MS * (0.6 + 0.8 * self.rng.random()), self.settings.max_retry_after_ms)
+            self.actions.refuse(job.id, wait if self.settings.retry_after else 0.0)
         else:
-            self.act.fail(job.id)
+            self.actions.fail(job.id)
         self._over(job)
         if not job.open:
             self.jobs.pop(job.id, None)
@@ -931,7 +937,7 @@
             due = self.heap[0][0]
             if self.armed_at == 0.0 or due < self.armed_at:
                 self.armed_at = due
-                self.act.set_timer(max(0.0, due - now), 1)
+                self.actions.set_timer(max(0.0, due - now), 1)
 
     def on_timer(self, now: float, token: int) -> None:
         """Do what is due."""
@@ -950,7 +956,7 @@
             elif what == _ALARM_EXCHANGE:
                 self._tell(self.occupancy.on_wakeup(now, due, self.rng.random))
             elif what == _ALARM_LIST and not self.watching:
-                self.act.watch(True)
+                self.actions.watch(True)
         self._arm(now)
 
     def on_probe_result(self, now: float, worker: int, status: int, latency_ms: float,
@@ -970,7 +976,7 @@
 
     def on_peer(self, now: float, sender: int, data: bytes) -> None:
         """Another gateway tells what it has out."""
-        idle_free = self.reports.idle_free
+        idle_free = self.reports.idle_free_slots
         found = self.occupancy.on_message(now, sender, data, idle_free, self.rng.random)
         for kind, slots in found.capacities.items():
             idle_free.setdefault(kind, float(slots))
@@ -980,4 +986,4 @@
     def _log(self, text: str) -> None:
         if self.lines > 0:
             self.lines -= 1
-            self.act.log(text)
+            self.actions.log(text)
--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -54,12 +54,14 @@
     for name, row in live.items():
         t = balancer.class_types[row]
         samples = {names[w]: (s[0], s[1], s[2]) for w, s in t.samples.items() if w in names}
-        rows[name] = Profile(balancer.set.classes[row], t.mean, t.served, balancer.longest[row], samples)
+        rows[name] = Profile(balancer.settings.classes[row], t.mean_log, t.served, balancer.longest_left_ms[row],
+                             samples)
     r = balancer.reports
-    cold = {names[w.id]: (w.ready_at, w.cold.light, w.cold.heavy, w.cold.counted_at)
+    cold = {names[w.id]: (w.ready_at, w.cold_allowance.light, w.cold_allowance.heavy, w.cold_allowance.counted_at)
             for w in balancer.fleet.workers.values() if w.ready_at > 0.0 and w.id in names}
     page = Legacy(FORMAT, scheduler, now, base, {key: float(getattr(balancer, key)) for key in MEASURED},
-                  {kind: (mean, r.most_free.get(kind, mean)) for kind, mean in r.idle_free.items()}, rows, cold)
+                  {kind: (mean, r.max_free_slots.get(kind, mean)) for kind, mean in r.idle_free_slots.items()},
+                  rows, cold)
     return seal(msgspec.json.encode(page))
 
 
@@ -91,21 +93,21 @@
         if key in page.values:
             setattr(balancer, key, page.values[key])
     for kind, (mean, most) in page.free.items():
-        if 0 <= kind < balancer.set.kinds:
-            balancer.reports.idle_free[kind] = mean
-            balancer.reports.most_free[kind] = most
+        if 0 <= kind < balancer.settings.kinds:
+            balancer.reports.idle_free_slots[kind] = mean
+            balancer.reports.max_free_slots[kind] = most
     workers: dict[int, Worker] = balancer.fleet.workers
     for name, profile in page.classes.items():
         row = live.get(name)
-        if row is None or balancer.set.classes[row] != profile.rules:
+        if row is None or balancer.settings.classes[row] != profile.rules:
             continue
         t = balancer.class_types[row]
-        t.mean, t.served, t.stale = profile.mean, profile.served, True
-        balancer.longest[row] = profile.longest
+        t.mean_log, t.served, t.stale = profile.mean, profile.served, True
+        balancer.longest_left_ms[row] = profile.longest
         for worker, sample in profile.samples.items():
             if (number := numbers.get(worker)) in workers:
                 t.samples[number] = [*sample, workers[number].kind]
     for worker, (started, light, heavy, at) in page.cold.items():
         w = workers.get(numbers.get(worker, 0))
         if w is not None and abs(w.ready_at - started) <= SAME_START_MS:
-            w.cold.light, w.cold.heavy, w.cold.counted_at = light, heavy, at
+            w.cold_allowance.light, w.cold_allowance.heavy, w.cold_allowance.counted_at = light, heavy, at
--- a/gaphub/profiles.py
+++ b/gaphub/profiles.py
@@ -24,7 +24,7 @@
 class JobType:
     """What this gateway knows of one type of job: counts in flight, response times, shares."""
 
-    __slots__ = ("n", "counts", "samples", "served", "mean", "rates", "kind_rates", "total", "top",
+    __slots__ = ("n", "counts", "samples", "served", "mean_log", "rates", "kind_rates", "total", "top",
                  "solve_at", "stale", "met_mean", "unmet_mean")
 
     def __init__(self, kinds: int, first_mean: float) -> None:
@@ -32,7 +32,7 @@
         self.counts: dict[int, int] = {}
         self.samples: dict[int, list[float]] = {}  # worker: weight, weighted sum, when, kind
         self.served = 0
-        self.mean = first_mean  # of log(ms), or of log(ms per hinted ms)
+        self.mean_log = first_mean  # of log(ms), or of log(ms per hinted ms)
         self.rates: dict[int, float] = {}  # 1 / R of the workers with samples
         self.kind_rates = [1.0] * kinds  # 1 / R of the others
         self.total = 1.0  # sum of 1 / R over all ready workers
@@ -55,15 +55,15 @@
         x = log(ms)
         if met is not None:
             if met:
-                self.met_mean += (x - self.mean - self.met_mean) * FETCH_STEP
+                self.met_mean += (x - self.mean_log - self.met_mean) * FETCH_STEP
             else:
-                self.unmet_mean += (x - self.mean - self.unmet_mean) * FETCH_STEP
+                self.unmet_mean += (x - self.mean_log - self.unmet_mean) * FETCH_STEP
                 x -= self.fetch  # the profile is that of jobs that need fetch nothing
         self.served += 1
-        self.mean += (x - self.mean) * max(MEAN_STEP, 1.0 / (self.served + 1))
+        self.mean_log += (x - self.mean_log) * max(MEAN_STEP, 1.0 / (self.served + 1))
         entry = self.samples.setdefault(worker.id, [0.0, 0.0, now, worker.kind])
         fade = exp((entry[2] - now) / PROFILE_FADE_MS)
-        entry[:3] = [entry[0] * fade + 1.0, entry[1] * fade + x - self.mean, now]
+        entry[:3] = [entry[0] * fade + 1.0, entry[1] * fade + x - self.mean_log, now]
         self.stale = True
 
     def solve(self, now: float, ready: dict[int, Worker], kind_counts: list[int], jitter: float) -> None:
--- a/gaphub/start_times.py
+++ b/gaphub/start_times.py
@@ -22,16 +22,16 @@
         self._heard_at: float | None = None
         self._known: dict[str, tuple[float, float]] = {}  # by name: the start as it was told, and on our clock
 
-    def saw_clock(self, ahead_ms: float) -> None:
+    def record_wall_clock(self, ahead_ms: float) -> None:
         """The wall clock is ahead of ours by so much now."""
         if abs(ahead_ms - self._steps[-1]) > STEP_MS:
             self._steps = [*self._steps, ahead_ms][-STEPS_MOST:]
 
-    def heard(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Discovery has answered: what it names from now on was not there, or not so, before its lag."""
         self._heard_at = now
 
-    def on_own_clock(self, name: str, told: float, now: float) -> float:
+    def to_own_clock(self, name: str, told: float, now: float) -> float:
         """A worker's start; 0: long ago.  The same for as long as the same is told."""
         if told <= 0.0:
             return 0.0
--- a/gaphub/workers.py
+++ b/gaphub/workers.py
@@ -16,18 +16,18 @@
 class Worker:
     """One worker as this gateway sees it."""
 
-    __slots__ = ("id", "identity", "kind", "zone", "cell", "able", "state", "ready_at", "out",
+    __slots__ = ("id", "identity", "kind", "zone", "cell", "class_mask", "state", "ready_at", "slots_out",
                  "report", "report_at", "report_new_at", "out_then", "memory_out", "memory_then", "capacity",
                  "full_until", "full_slots", "full_times", "busy_until", "heard_at", "strikes",
-                 "struck_until",
-                 "trial", "cold", "resets", "begun", "errors", "erred")
+                 "ejected_until",
+                 "trial", "cold_allowance", "resets", "begun", "errors", "erred")
 
     def __init__(self, entry: ListedWorker, cold_phase: float = 0.0) -> None:
         """``cold_phase``: this gateway's at a cold worker, see ``cold_start.phase_of``."""
-        self.id, self.kind, self.able = entry.worker, entry.kind, entry.able
+        self.id, self.kind, self.class_mask = entry.worker, entry.kind, entry.class_mask
         self.identity = entry.identity or entry.worker
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
-        self.out = self.memory_out = 0.0  # slots and memory of this gateway's attempts out there
+        self.slots_out = self.memory_out = 0.0  # slots and memory of this gateway's attempts out there
         self.capacity = 0.0
         self.restart(entry.ready_at_ms, cold_phase)
 
@@ -41,18 +41,18 @@
         self.begun = -1e18  # when the last of the attempts that have started was sent
         self.full_slots = 0.0
         self.full_times = self.strikes = self.resets = 0
-        self.struck_until = -1e18
+        self.ejected_until = -1e18
         self.errors = 0.0  # the share of its answers that are errors, the last ones above all
         self.erred: dict[int, float] = {}  # class, -1 for any: its last error; some fail one class alone
         self.trial = False
-        self.cold = ColdAllowance(cold_phase)
+        self.cold_allowance = ColdAllowance(cold_phase)
 
 
 class Reports:
     """Which values a load report holds, and what they say of a worker."""
 
     __slots__ = ("slots", "memory", "inflight", "queue", "latency", "useful", "ttl_ms",
-                 "in_order", "most_free", "idle_free")
+                 "in_order", "max_free_slots", "idle_free_slots")
 
     def __init__(self, fields: Sequence[str], ttl_ms: float, in_order: bool) -> None:
         def place(name: str) -> int:
@@ -66,24 +66,24 @@
         self.useful = self.slots >= 0
         self.ttl_ms = ttl_ms
         self.in_order = in_order
-        self.most_free: dict[int, float] = {}  # slots, by kind of worker
-        self.idle_free: dict[int, float] = {}  # the mean of reports of idle workers, by kind
+        self.max_free_slots: dict[int, float] = {}  # slots, by kind of worker
+        self.idle_free_slots: dict[int, float] = {}  # the mean of reports of idle workers, by kind
 
     def take(self, now: float, w: Worker, report: tuple[float, ...]) -> None:
         """Note a report.  One that repeats the last values was not refreshed in between."""
         if report != w.report:
             w.report = report
             w.report_new_at = now
-            w.out_then = w.out
+            w.out_then = w.slots_out
             w.memory_then = w.memory_out
             if self.slots >= 0:
                 # The most slots seen free on any worker of the kind, not free ones plus jobs held: behind a
                 # head that does not fit many wait beside free slots.  One alone may never be seen empty.
                 free = report[self.slots]
-                self.most_free[w.kind] = w.capacity = max(self.most_free.get(w.kind, 0.0), free)
+                self.max_free_slots[w.kind] = w.capacity = max(self.max_free_slots.get(w.kind, 0.0), free)
                 if self.inflight >= 0 and report[self.inflight] < 0.5:
-                    mean = self.idle_free.get(w.kind, free)
-                    self.idle_free[w.kind] = mean + (free - mean) * IDLE_STEP  # reports are noisy
+                    mean = self.idle_free_slots.get(w.kind, free)
+                    self.idle_free_slots[w.kind] = mean + (free - mean) * IDLE_STEP  # reports are noisy
         w.report_at = now
 
     def free(self, now: float, w: Worker, slots: float, memory: float) -> bool | None:
@@ -91,7 +91,7 @@
         if not self.useful or now - w.report_at > self.ttl_ms:
             return None
         r = w.report
-        if r[self.slots] - (w.out - w.out_then) < slots or (
+        if r[self.slots] - (w.slots_out - w.out_then) < slots or (
                 self.in_order and self.queue >= 0 and r[self.queue] > 0.5):
             return False  # a slot beside a queue that is served in order is not free for this job
         return self.memory < 0 or r[self.memory] - (w.memory_out - w.memory_then) >= memory
@@ -100,7 +100,7 @@
         """How long a job sent now would wait there, where reports name the queue (not free slots)."""
         if self.queue < 0 or now - w.report_at > self.ttl_ms or not w.report:
             return 0.0
-        waiting = w.report[self.queue] + max(0.0, w.out - w.out_then)
+        waiting = w.report[self.queue] + max(0.0, w.slots_out - w.out_then)
         if waiting <= 0:
             return 0.0
         service = w.report[self.latency] if self.latency >= 0 else typical
@@ -144,7 +144,7 @@
                 w.restart(e.ready_at_ms, cold_phase(w.identity))
                 changed.append(w.id)
             w.state = e.state
-            w.able = e.able
+            w.class_mask = e.class_mask
             if e.state == WorkerState.READY:
                 self.ready[w.id] = w
             else:
@@ -166,5 +166,5 @@
         if found is None:
             found = self.pools[key] = [w for w in self.ready.values()
                                        if (not zones or w.zone in zones) and kind in (-1, w.kind)
-                                       and w.able >> cls & 1]
+                                       and w.class_mask >> cls & 1]
         return found
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -23,7 +23,7 @@
         self.cancelled: list[tuple[int, int]] = []
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
-        self.tells: list[tuple[int, bytes]] = []
+        self.peer_messages: list[tuple[int, bytes]] = []
         self.lines: list[str] = []
         self.watches = 0
 
@@ -49,9 +49,9 @@
     def close_idle(self, worker: int) -> None:
         raise AssertionError("never used")
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         assert len(data) <= 256
-        self.tells.append((peer, data))
+        self.peer_messages.append((peer, data))
 
     def log(self, text: str) -> None:
         self.lines.append(text)
@@ -81,22 +81,22 @@
         **settings: Any,
     ) -> None:
         self.now = 1000.0
-        self.did = Recorder()
-        self.b = Balancer(self.now, Settings(classes=classes, **settings), seed, self.did)
-        self.b.on_workers(self.now, ListKind.CACHED, entries or [entry(i) for i in range(1, workers + 1)])
+        self.actions = Recorder()
+        self.balancer = Balancer(self.now, Settings(classes=classes, **settings), seed, self.actions)
+        self.balancer.on_workers(self.now, ListKind.CACHED, entries or [entry(i) for i in range(1, workers + 1)])
         self.next_id = 0
 
     def request(self, cls: int = 0, **more: Any) -> int:
         self.next_id += 1
-        left = more.pop("left_ms", self.b.set.classes[cls].deadline_ms)
-        self.b.on_request(self.now, Request(self.next_id, cls, left, **more))
+        left = more.pop("left_ms", self.balancer.settings.classes[cls].deadline_ms)
+        self.balancer.on_request(self.now, Request(self.next_id, cls, left, **more))
         return self.next_id
 
     def worker_of(self, request: int, attempt: int = -1) -> int:
-        return [w for r, w in self.did.sends if r == request][attempt]
+        return [w for r, w in self.actions.sends if r == request][attempt]
 
     def attempts(self, request: int) -> int:
-        return sum(r == request for r, _ in self.did.sends)
+        return sum(r == request for r, _ in self.actions.sends)
 
     def outcome(
         self,
@@ -106,7 +106,7 @@
         latency: float = 100.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.b.on_outcome(self.now, request, attempt, status, latency, status == Status.OK, report)
+        self.balancer.on_outcome(self.now, request, attempt, status, latency, status == Status.OK, report)
 
     def serve(self, request: int, latency: float = 100.0, report: tuple[float, ...] = ()) -> int:
         self.outcome(request, 0, Status.OK, latency, report)
@@ -121,5 +121,5 @@
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            if self.b.armed_at and self.b.armed_at <= self.now:
-                self.b.on_timer(self.now, 1)
+            if self.balancer.armed_at and self.balancer.armed_at <= self.now:
+                self.balancer.on_timer(self.now, 1)
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -297,11 +297,11 @@
                   reports_in_answers=True, cold_from=START, cold_ms=WARM_MS)
     world.serve(world.request(), report=(12.0, 0.0))
     for sender in range(1, heard + 1):
-        world.b.on_peer(world.now, sender, encode(Kind.SNAPSHOT, 0, []))
-    world.b.on_workers(world.now, ListKind.FULL, [listed(1), listed(2, ready_at=world.now)])
+        world.balancer.on_peer(world.now, sender, encode(Kind.SNAPSHOT, 0, []))
+    world.balancer.on_workers(world.now, ListKind.FULL, [listed(1), listed(2, ready_at=world.now)])
     for _ in range(100):
         world.request()
-    return sum(worker == 2 for _, worker in world.did.sends)
+    return sum(worker == 2 for _, worker in world.actions.sends)
 
 
 def test_counts_of_a_part_of_the_schedulers_are_not_taken_for_those_of_all() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -137,7 +137,7 @@
 def test_as_many_attempts_as_the_settings_give_and_no_more(most: int, monkeypatch: pytest.MonkeyPatch) -> None:
     @core_test
     async def test(w: World, patch: Any) -> None:
-        w.core.settings = w.core.balancer.set = replace(SETTINGS, max_attempts=most)
+        w.core.settings = w.core.balancer.settings = replace(SETTINGS, max_attempts=most)
         w.job(0)
         await asyncio.sleep(0.01)
         for _ in range(8):
@@ -145,7 +145,7 @@
         assert len(w.port.calls) == most
         assert len({c.destination.number for c in w.port.calls}) == most
         assert w.endings == [Ending.REFUSED]
-        w.core.balancer.set = replace(SETTINGS, max_attempts=99)  # a Balancer that asks for more
+        w.core.balancer.settings = replace(SETTINGS, max_attempts=99)  # a Balancer that asks for more
         w.answers.clear()
         w.job(0)
         await asyncio.sleep(0.01)
@@ -161,7 +161,7 @@
         w: World, patch: Any) -> None:
     # Montevideo allows second copies: the core refused each, and the attempts after it bore other numbers here
     # than at the Balancer.
-    w.core.settings = w.core.balancer.set = replace(SETTINGS, second_copies=True)
+    w.core.settings = w.core.balancer.settings = replace(SETTINGS, second_copies=True)
     told: list[tuple[int, int]] = []
     on_outcome = Balancer.on_outcome
 
@@ -204,7 +204,7 @@
             Listed("a", "", 1, zone=0, cell=1), Listed("b", "", 1, zone=0, cell=2),
             Listed("c", "", 1, zone=1, cell=1)])
         numbers = {d.listed.name: n for n, d in w.core.destinations.by_number.items()}
-        patch.setattr(Balancer, "on_request", lambda b, now, r: b.act.send(r.id, numbers["a"], 0.0))
+        patch.setattr(Balancer, "on_request", lambda b, now, r: b.actions.send(r.id, numbers["a"], 0.0))
         patch.setattr(Balancer, "on_outcome", lambda *more: None)
         for late in (False, True):
             for name in "abc":
@@ -272,7 +272,7 @@
 @core_test
 async def test_a_call_that_ends_before_its_request_times_out(w: World, patch: Any) -> None:
     first = next(iter(w.core.destinations.by_number))
-    patch.setattr(Balancer, "on_request", lambda b, now, r: b.act.send(r.id, first, 30.0))
+    patch.setattr(Balancer, "on_request", lambda b, now, r: b.actions.send(r.id, first, 30.0))
     w.job(1)
     await asyncio.sleep(0.1)
     assert [c.status for c in w.port.calls] == [Status.TIMEOUT]
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -123,13 +123,13 @@
     def talk(self, now: float) -> int:
         bytes_ = 0
         for me, did in enumerate(self.did):
-            told, did.tells = did.tells, []
+            told, did.peer_messages = did.peer_messages, []
             for to, data in told:
                 for other, b in enumerate(self.all):
                     if other != me and to in (-1, other):
                         b.on_peer(now, me, data)
                         bytes_ += len(data)
-        return bytes_ + self.talk(now) if any(did.tells for did in self.did) else bytes_
+        return bytes_ + self.talk(now) if any(did.peer_messages for did in self.did) else bytes_
 
     def sends(self) -> Counter[int]:
         return Counter(w for did in self.did for _, w in did.sends)
@@ -151,7 +151,7 @@
     for round_ in range(40, 80):
         fleet.all[round_ % gateways].on_request(half, Request(round_, 0, 5000.0))
         fleet.talk(half)
-    assert sum(b.fleet.workers[2].out for b in fleet.all) == 3
+    assert sum(b.fleet.workers[2].slots_out for b in fleet.all) == 3
 
 
 def test_what_one_gateway_learns_of_slots_and_counts_all_know() -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -275,19 +275,20 @@
     for i in range(40):
         old.serve(old.request(), 50.0 + i)
         old.wait(20.0)
-    old.b.fleet.workers[3].cold.light = -2.0
-    page = legacy.leave(old.b, "n0", old.now, live, names)
+    old.balancer.fleet.workers[3].cold_allowance.light = -2.0
+    page = legacy.leave(old.balancer, "n0", old.now, live, names)
     new = world()
     found = legacy.read(page, "n0", old.now + 100.0)
     assert found is not None
-    legacy.take(new.b, found, live, {"a": 1, "b": 2, "c": 3})
-    assert new.b.class_types[0].mean == old.b.class_types[0].mean != world().b.class_types[0].mean
-    assert new.b.class_types[0].samples == old.b.class_types[0].samples
-    assert new.b.fleet.workers[3].cold.light == -2.0
+    legacy.take(new.balancer, found, live, {"a": 1, "b": 2, "c": 3})
+    assert (new.balancer.class_types[0].mean_log == old.balancer.class_types[0].mean_log
+            != world().balancer.class_types[0].mean_log)
+    assert new.balancer.class_types[0].samples == old.balancer.class_types[0].samples
+    assert new.balancer.fleet.workers[3].cold_allowance.light == -2.0
     new.serve(new.request())
     other = World(entries=[entry(3, ready_at=950.0)], cold_ms=60_000.0)  # restarted: its allowances are its own
-    legacy.take(other.b, found, live, {"c": 3})
-    assert other.b.fleet.workers[3].cold.light >= 0.0
+    legacy.take(other.balancer, found, live, {"c": 3})
+    assert other.balancer.fleet.workers[3].cold_allowance.light >= 0.0
     for bad, name, now in ((page[:-1], "n0", old.now), (page, "n1", old.now), (b"", "n0", old.now),
                            (page, "n0", old.now + legacy.AGE_MS + 1.0), (page, "n0", old.now - 1.0)):
         assert legacy.read(bad, name, now) is None
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -21,7 +21,7 @@
     world = World(workers=4)
     for _ in range(8):
         world.request()
-    assert set(Counter(w for _, w in world.did.sends).values()) == {2}
+    assert set(Counter(w for _, w in world.actions.sends).values()) == {2}
 
 
 def test_shares_follow_the_inverse_of_response_times() -> None:
@@ -30,10 +30,10 @@
         for r in [world.request() for _ in range(8)]:
             world.serve(r, 100.0 if world.worker_of(r) == 1 else 300.0)
         world.wait(100.0)
-    world.did.sends.clear()
+    world.actions.sends.clear()
     for _ in range(40):
         world.request()
-    sent = Counter(w for _, w in world.did.sends)
+    sent = Counter(w for _, w in world.actions.sends)
     assert 2.3 < sent[1] / sent[2] < 3.7
 
 
@@ -55,10 +55,10 @@
     """With nothing in flight all gaps are 0; the fast worker stands first and last in the pool."""
     for fast in (1, 4):
         world = World(workers=4)
-        t = world.b.class_types[0]
+        t = world.balancer.class_types[0]
         for i in range(1, 5):
             for _ in range(20):
-                t.add(world.now, world.b.fleet.workers[i], 50.0 if i == fast else 400.0)
+                t.add(world.now, world.balancer.fleet.workers[i], 50.0 if i == fast else 400.0)
         picks = set()
         for _ in range(12):
             r = world.request()
@@ -99,9 +99,9 @@
     for _ in range(40):
         r = world.request()
         world.serve(r, 100.0 if world.worker_of(r) == 1 else 300.0)
-    t = world.b.class_types[0]
+    t = world.balancer.class_types[0]
     assert 2 in t.samples
-    world.b.on_workers(world.now, ListKind.CHANGES, [entry(2, ready_at=world.now - 1.0)])
+    world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(2, ready_at=world.now - 1.0)])
     assert 2 not in t.samples
 
 
@@ -110,7 +110,7 @@
     r = world.request()
     world.outcome(r, 0, Status.FULL, 1.0)
     world.outcome(r, 1, Status.ERROR, 1.0)
-    assert world.b.class_types[0].served == 0
+    assert world.balancer.class_types[0].served == 0
 
 
 def test_a_hint_normalises_the_response_time() -> None:
@@ -118,8 +118,8 @@
     for hint in (100.0, 1000.0, 10.0):
         r = world.request(hint_ms=hint)
         world.serve(r, hint * 2.0)
-    assert world.b.hint_types[0].mean == pytest.approx(log(2.0), abs=0.36)
-    assert world.b.class_types[0].served == 0
+    assert world.balancer.hint_types[0].mean_log == pytest.approx(log(2.0), abs=0.36)
+    assert world.balancer.class_types[0].served == 0
 
 
 def test_a_report_without_free_slots_makes_unavailable() -> None:
@@ -149,9 +149,9 @@
 def test_an_old_report_counts_as_none() -> None:
     world = World(workers=1, report_fields=REPORTS)
     world.serve(world.request(), report=(100.0, 4.0, 0.0, 9.0))
-    w = world.b.fleet.workers[1]
-    assert world.b.reports.free(world.now, w, 1.0, 0.0) is False
-    assert world.b.reports.free(world.now + 60_000.0, w, 1.0, 0.0) is None
+    w = world.balancer.fleet.workers[1]
+    assert world.balancer.reports.free(world.now, w, 1.0, 0.0) is False
+    assert world.balancer.reports.free(world.now + 60_000.0, w, 1.0, 0.0) is None
 
 
 def test_full_bars_for_that_size_and_the_next_in_gap_order_gets_the_job() -> None:
@@ -201,14 +201,14 @@
 def test_the_work_of_a_pick_does_not_grow_with_the_fleet() -> None:
     world = World(workers=5000)
     calls = 0
-    real = world.b._usable
+    real = world.balancer._usable
 
     def counted(*args: object) -> int:
         nonlocal calls
         calls += 1
         return real(*args)  # type: ignore[arg-type]
 
-    world.b.__class__ = type("Counting", (world.b.__class__,), {"_usable": staticmethod(counted)})
+    world.balancer.__class__ = type("Counting", (world.balancer.__class__,), {"_usable": staticmethod(counted)})
     world.request()
     assert 0 < calls < 50
 
@@ -217,9 +217,9 @@
     world = World(workers=4)
     for i in range(6000):
         world.serve(world.request(key=100 + i))
-    assert len(world.b.key_types) == KEYS_MAX
+    assert len(world.balancer.key_types) == KEYS_MAX
     world.serve(world.request(key=7))
-    assert (0, 7) in world.b.key_types and (0, 100) not in world.b.key_types
+    assert (0, 7) in world.balancer.key_types and (0, 100) not in world.balancer.key_types
 
 
 def test_a_key_stays_where_it_was_fetched_and_every_gateway_draws_alike() -> None:
@@ -262,7 +262,7 @@
 
 def test_a_fetch_lengthens_the_time_to_expect_where_the_key_was_not_met() -> None:
     world = World(workers=2)
-    t = world.b.class_types[0]
+    t = world.balancer.class_types[0]
     for i in range(400):
         job = world.request(key=1 + i)
         world.serve(job, latency=300.0)  # each key new to its worker
@@ -284,10 +284,10 @@
     world = World(workers=6, may_probe=True, reports_in_probes=True, report_fields=("free_slots", "queue"))
     r = world.request()
     assert world.attempts(r) == 0
-    probed = list(world.did.probes)
+    probed = list(world.actions.probes)
     assert len(probed) == LOOKS
     for w in probed:
-        world.b.on_probe_result(world.now, w, Status.OK, 1.0, (2.0 if w == probed[1] else 0.0, 0.0))
+        world.balancer.on_probe_result(world.now, w, Status.OK, 1.0, (2.0 if w == probed[1] else 0.0, 0.0))
     assert world.worker_of(r) == probed[1]
 
 
@@ -296,8 +296,8 @@
     for order, free in (("fifo", False), ("backfill", True)):
         world = World(workers=1, report_fields=("free_slots", "queue"), queue_order=order)
         world.serve(world.request(), report=(3.0, 5.0))
-        w = world.b.fleet.workers[1]
-        assert world.b.reports.free(world.now, w, 1.0, 0.0) is free
+        w = world.balancer.fleet.workers[1]
+        assert world.balancer.reports.free(world.now, w, 1.0, 0.0) is free
 
 
 def test_a_look_holds_a_job_no_longer_than_its_limit() -> None:
@@ -316,7 +316,7 @@
         prices={"probe": 0.1},
     )
     assert world.attempts(world.request()) == 1
-    assert not world.did.probes
+    assert not world.actions.probes
 
 
 def pair(**more: Any) -> tuple[World, World]:
@@ -325,19 +325,19 @@
                        report_fields=("free_slots", "queue", "inflight"), **more) for me in (0, 1))
     for world in both:
         world.wait(5.0)
-        for w in world.b.fleet.workers:
-            world.b.on_probe_result(world.now, w, Status.OK, 1.0, (4.1, 0.0, 0.0))
+        for w in world.balancer.fleet.workers:
+            world.balancer.on_probe_result(world.now, w, Status.OK, 1.0, (4.1, 0.0, 0.0))
     talk(*both)
     return both[0], both[1]
 
 
 def talk(*worlds: World) -> None:
     """Carry what was told, in turn, until nothing more is."""
-    while any(w.did.tells for w in worlds):
+    while any(w.actions.peer_messages for w in worlds):
         for me, world in enumerate(worlds):
-            told, world.did.tells = world.did.tells, []
+            told, world.actions.peer_messages = world.actions.peer_messages, []
             for _, data in told:
-                worlds[1 - me].b.on_peer(worlds[1 - me].now, me, data)
+                worlds[1 - me].balancer.on_peer(worlds[1 - me].now, me, data)
 
 
 # Guards against trusting reports: they are of a moment up to two seconds ago, and two gateways that read
@@ -347,7 +347,7 @@
     for _ in range(4):
         a.request(slots=1.0)
     talk(a, b)
-    taken = Counter(w for _, w in a.did.sends)
+    taken = Counter(w for _, w in a.actions.sends)
     last = b.request(slots=4.0 - min(taken.values()))
     assert b.worker_of(last) == min(taken, key=lambda w: taken[w])
     for request in range(1, 5):
@@ -355,7 +355,7 @@
     talk(a, b)
     other = b.request(slots=4.0)
     assert b.worker_of(other) != b.worker_of(last)
-    assert not a.did.probes and not b.did.probes
+    assert not a.actions.probes and not b.actions.probes
 
 
 def test_a_gateway_that_starts_is_told_all_and_one_that_is_silent_is_not_counted_on() -> None:
@@ -367,12 +367,12 @@
               report_fields=("free_slots", "queue", "inflight"))
     b.wait(5.0)
     talk(a, b)
-    w = b.b.fleet.workers[1]
-    assert (b.b._slots(w, b.now), b.b._out(w)) == (4, 3)
+    w = b.balancer.fleet.workers[1]
+    assert (b.balancer._slots(w, b.now), b.balancer._out(w)) == (4, 3)
     b.now += 5_000.0
-    assert b.b._slots(w, b.now) == 0
+    assert b.balancer._slots(w, b.now) == 0
     b.request()
-    assert b.did.probes == [1]  # it looks again
+    assert b.actions.probes == [1]  # it looks again
 
 
 def test_who_says_full_is_left_alone_for_a_while_though_counts_say_that_it_is_free() -> None:
@@ -385,32 +385,32 @@
     assert drains not in {a.worker_of(a.request(slots=1.0)) for _ in range(6)}  # more than the other's slots
     a.wait(300.0)
     again = next(r for r in [a.request(slots=1.0) for _ in range(3)] if a.worker_of(r) == drains)
-    a.b.fleet.workers[drains].full_times = 9  # it may be back soon, however often it said so
+    a.balancer.fleet.workers[drains].full_times = 9  # it may be back soon, however often it said so
     a.outcome(again, 0, Status.FULL, 5.0)
-    assert a.now < a.b.fleet.workers[drains].full_until <= a.now + 900.0
+    assert a.now < a.balancer.fleet.workers[drains].full_until <= a.now + 900.0
 
 
 def test_of_a_cold_workers_slots_only_its_present_part_counts() -> None:
     """Jobs in all the slots of a worker at a third of its capacity take three times as long."""
     a, _ = pair(entries=[entry(1), entry(2, ready_at=1_000.0)], cold_from=0.3, cold_ms=1_000.0)
-    cold = a.b.fleet.workers[2]
-    assert [a.b._slots(cold, 1_000.0 + age) for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
-    job = a.b.jobs[a.request()]
-    cold.out = 1.0
-    assert a.b._available(cold, job, 2_200.0)
-    assert not a.b._available(cold, job, 1_000.0)
+    cold = a.balancer.fleet.workers[2]
+    assert [a.balancer._slots(cold, 1_000.0 + age) for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
+    job = a.balancer.jobs[a.request()]
+    cold.slots_out = 1.0
+    assert a.balancer._available(cold, job, 2_200.0)
+    assert not a.balancer._available(cold, job, 1_000.0)
 
 
 def test_what_a_gateway_tells_late_or_garbled_is_dropped() -> None:
     a, b = pair(workers=1)
     a.request()
-    (_, first), *_ = a.did.tells
+    (_, first), *_ = a.actions.peer_messages
     a.request()
     talk(a, b)
-    w = b.b.fleet.workers[1]
+    w = b.balancer.fleet.workers[1]
     for data in (first, b"", b"\xd0", first[:-1], b"\xd9" + first[1:], b"gh1" + first):
-        b.b.on_peer(b.now, 0, data)
-        assert b.b._out(w) == 2
+        b.balancer.on_peer(b.now, 0, data)
+        assert b.balancer._out(w) == 2
 
 
 def test_nothing_is_told_where_it_is_dear_or_not_allowed() -> None:
@@ -418,7 +418,7 @@
         world = World(balancers=3, **more)
         world.request()
         world.wait(3_000.0, 50.0)
-        assert not world.did.tells
+        assert not world.actions.peer_messages
 
 
 def test_safe_class_default_is_what_tests_think() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 
 def test_nothing_goes_to_a_draining_or_gone_worker() -> None:
     world = World(workers=3)
-    world.b.on_workers(
+    world.balancer.on_workers(
         world.now, ListKind.CHANGES, [entry(1, WorkerState.DRAINING), entry(2, WorkerState.GONE)]
     )
     assert {world.worker_of(world.request()) for _ in range(9)} == {3}
@@ -16,31 +16,31 @@
 
 def test_a_worker_missing_from_a_full_list_is_gone() -> None:
     world = World(workers=3)
-    world.b.on_workers(world.now, ListKind.FULL, [entry(2)])
+    world.balancer.on_workers(world.now, ListKind.FULL, [entry(2)])
     assert {world.worker_of(world.request()) for _ in range(5)} == {2}
 
 
 def test_a_failed_list_call_keeps_the_old_list_and_asks_again_later_each_time() -> None:
     world = World(workers=2, must_ask=True)
     world.wait(7000.0)
-    assert world.did.watches == 1
+    assert world.actions.watches == 1
     gaps = []
     for _ in range(3):
-        world.b.on_workers(world.now, ListKind.FAILED, [])
-        asked, start = world.did.watches, world.now
-        while world.did.watches == asked:
+        world.balancer.on_workers(world.now, ListKind.FAILED, [])
+        asked, start = world.actions.watches, world.now
+        while world.actions.watches == asked:
             world.wait(5.0)
         gaps.append(world.now - start)
     assert world.attempts(world.request()) == 1
     assert gaps[2] > gaps[0]
-    assert max(gaps) < world.b.set.ask_within_ms * 1.3
+    assert max(gaps) < world.balancer.settings.ask_within_ms * 1.3
 
 
 def test_first_list_calls_are_spread() -> None:
     times = set()
     for seed in range(8):
         world = World(workers=1, must_ask=True, seed=seed)
-        while not world.did.watches:
+        while not world.actions.watches:
             world.wait(50.0)
         times.add(round(world.now, -2))
     assert len(times) > 4
@@ -57,17 +57,17 @@
         r = world.request()
         world.outcome(r, 0, status, 1.0)
         assert world.attempts(r) == 1
-        assert world.did.failed == [r]
-        assert not world.did.refused
+        assert world.actions.failed == [r]
+        assert not world.actions.refused
 
 
 def test_unsafe_in_doubt_waits_for_its_worker_and_is_failed_in_time() -> None:
     world = World(classes=(UNSAFE,))
     r = world.request()
     world.wait(4960.0)
-    assert not world.did.failed
+    assert not world.actions.failed
     world.wait(60.0)
-    assert world.did.failed == [r]
+    assert world.actions.failed == [r]
     assert world.attempts(r) == 1
 
 
@@ -95,8 +95,8 @@
             if first in group_of:
                 assert world.worker_of(r) in group_of[first]
                 world.outcome(r, 1, Status.ERROR, 1.0)
-                assert not world.did.refused  # a refusal would not be true outside the whole group
-                assert world.did.failed == [r]
+                assert not world.actions.refused  # a refusal would not be true outside the whole group
+                assert world.actions.failed == [r]
 
 
 def test_keyed_work_is_not_repeated_past_its_window() -> None:
@@ -112,45 +112,45 @@
         world = World(classes=(cls,))
         r = world.request()
         world.wait(cls.deadline_ms + 1.0)
-        assert world.did.refused + world.did.failed == [r]
-        sends = len(world.did.sends)
+        assert world.actions.refused + world.actions.failed == [r]
+        sends = len(world.actions.sends)
         world.wait(20_000.0)
-        assert len(world.did.sends) == sends
+        assert len(world.actions.sends) == sends
 
 
 def test_with_no_worker_a_request_is_refused_at_once() -> None:
     world = World(workers=1)
-    world.b.on_workers(world.now, ListKind.FULL, [])
+    world.balancer.on_workers(world.now, ListKind.FULL, [])
     r = world.request()
-    assert world.did.refused == [r]
+    assert world.actions.refused == [r]
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
     world = World()
     r = world.request()
     world.serve(r)
-    before = (len(world.did.sends), len(world.did.failed), len(world.did.refused))
+    before = (len(world.actions.sends), len(world.actions.failed), len(world.actions.refused))
     world.outcome(r, 0, Status.OK)
     world.outcome(r, 7, Status.OK)
     world.outcome(999, 0, Status.OK)
-    world.b.on_client_gone(world.now, r)
-    world.b.on_started(world.now, 999, 0)
-    world.b.on_progress(world.now, r, 3, 0.5)
-    world.b.on_timer(world.now, 12345)
-    world.b.on_probe_result(world.now, 77, Status.OK, 1.0, ())
-    world.b.on_peer(world.now, 1, b"\xff\x00")
-    assert (len(world.did.sends), len(world.did.failed), len(world.did.refused)) == before
-    assert not world.b.jobs
+    world.balancer.on_client_gone(world.now, r)
+    world.balancer.on_started(world.now, 999, 0)
+    world.balancer.on_progress(world.now, r, 3, 0.5)
+    world.balancer.on_timer(world.now, 12345)
+    world.balancer.on_probe_result(world.now, 77, Status.OK, 1.0, ())
+    world.balancer.on_peer(world.now, 1, b"\xff\x00")
+    assert (len(world.actions.sends), len(world.actions.failed), len(world.actions.refused)) == before
+    assert not world.balancer.jobs
 
 
 def test_a_client_that_left_is_owed_nothing_and_its_job_is_forgotten() -> None:
     world = World()
     r = world.request()
-    world.b.on_client_gone(world.now, r)
-    assert world.did.cancelled == [(r, 0)]
+    world.balancer.on_client_gone(world.now, r)
+    assert world.actions.cancelled == [(r, 0)]
     world.outcome(r, 0, Status.CANCELLED)
-    assert not world.b.jobs
-    assert not world.did.failed and not world.did.refused
+    assert not world.balancer.jobs
+    assert not world.actions.failed and not world.actions.refused
 
 
 def test_cold_workers_get_their_part_of_what_warm_ones_carry() -> None:
@@ -161,13 +161,13 @@
         for _ in range(100):
             world.serve(world.request())
             world.wait(20.0)
-        world.did.sends.clear()
-        world.b.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=world.now)])
+        world.actions.sends.clear()
+        world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=world.now)])
         for _ in range(150):
             world.serve(world.request())
             world.wait(20.0)
-        sent += sum(w == 1 for _, w in world.did.sends)
-        warm += sum(w != 1 for _, w in world.did.sends)
+        sent += sum(w == 1 for _, w in world.actions.sends)
+        warm += sum(w != 1 for _, w in world.actions.sends)
     assert 0 < sent < 0.45 * warm / 9
 
 
@@ -176,13 +176,13 @@
     for _ in range(100):
         world.serve(world.request())
         world.wait(20.0)
-    world.did.sends.clear()
-    world.b.on_workers(world.now, ListKind.FULL, [entry(i, ready_at=world.now) for i in range(1, 5)])
+    world.actions.sends.clear()
+    world.balancer.on_workers(world.now, ListKind.FULL, [entry(i, ready_at=world.now) for i in range(1, 5)])
     for _ in range(50):
         world.request()
         world.wait(20.0)
-    assert len(world.did.sends) < 25
-    assert world.did.refused
+    assert len(world.actions.sends) < 25
+    assert world.actions.refused
 
 
 def test_sends_in_a_jam_do_not_raise_the_cold_allowance() -> None:
@@ -190,19 +190,19 @@
     world = World(workers=4)
     for _ in range(200):
         r = world.request()
-        for i in range(world.b.set.max_attempts):
+        for i in range(world.balancer.settings.max_attempts):
             world.outcome(r, i, Status.FULL, 1.0)
         world.wait(10.0)
-    assert world.b._served_rate(world.now) == 0.0
+    assert world.balancer._served_rate(world.now) == 0.0
 
 
 def test_a_worker_is_warm_after_the_stated_time() -> None:
     world = World(workers=2, cold_ms=10_000.0)
-    world.b.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=world.now)])
+    world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=world.now)])
     world.wait(10_100.0)
     assert {world.worker_of(world.request()) for _ in range(4)} == {1, 2}
-    world.b.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=1000.0)])
-    assert world.b.fleet.workers[1].ready_at < 0  # the same start again is no restart
+    world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=1000.0)])
+    assert world.balancer.fleet.workers[1].ready_at < 0  # the same start again is no restart
 
 
 def test_nothing_is_kept_of_what_is_gone() -> None:
@@ -211,37 +211,37 @@
         base = 10 + 3 * round_
         for _ in range(6):
             world.serve(world.request())
-        world.b.on_workers(world.now, ListKind.FULL, [entry(base + i) for i in range(3)])
+        world.balancer.on_workers(world.now, ListKind.FULL, [entry(base + i) for i in range(3)])
         world.wait(100.0)
-    assert len(world.b.fleet.workers) == 3
-    assert not world.b.jobs
-    assert len(world.b.class_types[0].samples) <= 3
+    assert len(world.balancer.fleet.workers) == 3
+    assert not world.balancer.jobs
+    assert len(world.balancer.class_types[0].samples) <= 3
     world.wait(20_000.0)
-    assert not world.b.heap
+    assert not world.balancer.heap
 
 
 def test_the_wait_after_failed_list_calls_doubles() -> None:
     world = World(workers=1, must_ask=True)
     for _ in range(3):
-        world.b.on_workers(world.now, ListKind.FAILED, [])
-    assert world.b.list_wait >= 5000.0
-    world.b.on_workers(world.now, ListKind.FULL, [entry(1)])
-    assert world.b.list_wait < 1000.0
+        world.balancer.on_workers(world.now, ListKind.FAILED, [])
+    assert world.balancer.list_wait >= 5000.0
+    world.balancer.on_workers(world.now, ListKind.FULL, [entry(1)])
+    assert world.balancer.list_wait < 1000.0
 
 
 def test_what_cold_workers_serve_does_not_raise_the_pace() -> None:
     world = World(entries=[entry(1, ready_at=999.0)], cold_ms=60_000.0)
-    world.b.fleet.workers[1].cold.phase = 1.0  # its turn is now
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
     r = world.request()
     world.serve(r)
-    assert world.b.served_cost == 0.0
+    assert world.balancer.served_cost == 0.0
 
 
 def test_a_heavy_job_is_not_given_to_a_cold_worker() -> None:
     world = World(entries=[entry(1, ready_at=999.0)])
-    world.b.mean_cost = 1.0
-    world.b.fleet.workers[1].cold.phase = 1.0  # its turn is now
+    world.balancer.mean_cost = 1.0
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
     heavy = world.request(slots=8.0)
-    assert world.did.refused == [heavy]
-    world.b.fleet.workers[1].cold.phase = 1.0  # its turn is now
+    assert world.actions.refused == [heavy]
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
     assert world.attempts(world.request()) == 1
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -31,12 +31,12 @@
     r = world.request()
     bad = world.worker_of(r)
     world.outcome(r, 0, Status.RESET)
-    assert world.b.fleet.workers[bad].struck_until < world.now
+    assert world.balancer.fleet.workers[bad].ejected_until < world.now
     world.serve_last(r)
     while world.worker_of(r := world.request()) != bad:
         pass
     world.outcome(r, 0, Status.RESET)
-    assert world.b.fleet.workers[bad].struck_until > world.now
+    assert world.balancer.fleet.workers[bad].ejected_until > world.now
 
 
 def test_a_worker_that_fails_at_once_is_ruled_out_and_its_trials_are_harmless() -> None:
@@ -63,7 +63,7 @@
     assert not failures(1)  # its bar is over, but what may not be repeated is no trial
     assert failures(0) == 1
     world.wait(2_600.0)
-    while world.b.fleet.workers[bad].errors > 0.2:  # it has recovered, and a few jobs show it
+    while world.balancer.fleet.workers[bad].errors > 0.2:  # it has recovered, and a few jobs show it
         for r in [world.request() for _ in range(4)]:
             world.serve(r)
     assert bad in {world.worker_of(r) for r in [world.request(1) for _ in range(6)]}
@@ -75,7 +75,7 @@
     bad = world.worker_of(r)
     world.outcome(r, 0, Status.ERROR, 15.0)
     world.serve_last(r)
-    assert world.b.fleet.workers[bad].struck_until < world.now
+    assert world.balancer.fleet.workers[bad].ejected_until < world.now
     some = [world.request(1) for _ in range(10)]
     assert bad not in {world.worker_of(r) for r in some}
     world.wait(8_000.0)
@@ -90,34 +90,34 @@
     world.outcome(r, 0, Status.ERROR, 15.0)
     for r in [world.request() for _ in range(10)]:
         world.serve(r)
-    assert world.b.fleet.workers[bad].errors < 0.1
+    assert world.balancer.fleet.workers[bad].errors < 0.1
     assert bad not in {world.worker_of(r) for r in [world.request(2) for _ in range(10)]}
     assert bad in {world.worker_of(r) for r in [world.request(1) for _ in range(10)]}
 
 
 def test_what_a_worker_may_go_on_with_is_counted_for_a_while_and_served_work_is_not() -> None:
     world = World(workers=1)
-    w = world.b.fleet.workers[1]
+    w = world.balancer.fleet.workers[1]
     world.serve(world.request())
-    assert w.out == 0
+    assert w.slots_out == 0
     world.outcome(world.request(), 0, Status.CANCELLED)
-    assert w.out >= 1  # and the next attempt at the most
-    world.b.on_client_gone(world.now, 2)
+    assert w.slots_out >= 1  # and the next attempt at the most
+    world.balancer.on_client_gone(world.now, 2)
     world.wait(2_000.0)
-    assert w.out == 0
+    assert w.slots_out == 0
 
 
 def test_an_attempt_that_later_ones_overtook_waits_in_no_queue() -> None:
     world = World(workers=2, tells_start=True, second_copies=False, classes=(SAFE, UNSAFE))
     lost = world.request()
-    w = world.b.fleet.workers[world.worker_of(lost)]
+    w = world.balancer.fleet.workers[world.worker_of(lost)]
     world.wait(1_000.0)
     laters = [world.request(1) for _ in range(4)]
     later = next(r for r in laters if world.worker_of(r) == w.id)
-    world.b.on_started(world.now, later, 0)
-    before = w.out
+    world.balancer.on_started(world.now, later, 0)
+    before = w.slots_out
     world.wait(400.0)
-    assert (lost, 0) in world.did.cancelled and w.out == before - 1
+    assert (lost, 0) in world.actions.cancelled and w.slots_out == before - 1
     world.outcome(lost, 0, Status.CANCELLED)
     assert world.worker_of(lost) != w.id
 
@@ -126,22 +126,22 @@
 def test_the_slots_of_silent_work_are_counted_as_long_as_nothing_is_heard_of_its_worker() -> None:
     patient = ClassSettings(aim_ms=300.0, deadline_ms=60_000.0, effect=Effect.UNSAFE)
     world = World(workers=1, classes=(patient,), balancers=2, may_tell_peers=True)
-    worker = world.b.fleet.workers[1]
+    worker = world.balancer.fleet.workers[1]
     world.request()
     world.wait(20_000.0)
-    assert worker.out == 1.0
+    assert worker.slots_out == 1.0
     world.serve(world.request())  # later work has come back: that of the first is not on its way
     world.wait(5_000.0)
-    assert worker.out == 0.0
+    assert worker.slots_out == 0.0
 
 
 # Guards against sending to a full worker while others have free slots, only because all of them are silent.
 def test_of_ill_workers_those_with_free_slots_come_first() -> None:
     world = World(workers=2, report_fields=REPORTS)
     for number, free_slots in ((1, 0.0), (2, 4.0)):
-        worker = world.b.fleet.workers[number]
-        world.b.reports.take(world.now, worker, (100.0, 4.0, free_slots, 1.0))
-        worker.struck_until = world.now + 1_000.0
+        worker = world.balancer.fleet.workers[number]
+        world.balancer.reports.take(world.now, worker, (100.0, 4.0, free_slots, 1.0))
+        worker.ejected_until = world.now + 1_000.0
     assert {world.worker_of(world.request()) for _ in range(4)} == {2}
 
 
@@ -164,11 +164,11 @@
         classes=(ClassSettings(aim_ms=9000.0, deadline_ms=9000.0),),
     )
     r = world.request()
-    world.b.on_started(world.now + 1, r, 0)
-    w = world.b.fleet.workers[world.worker_of(r)]
+    world.balancer.on_started(world.now + 1, r, 0)
+    w = world.balancer.fleet.workers[world.worker_of(r)]
     for _ in range(3):
         world.wait(1000.0)
-        world.b.on_progress(world.now, r, 0, 0.2)
+        world.balancer.on_progress(world.now, r, 0, 0.2)
     assert not w.strikes
     world.wait(2700.0)
     assert w.strikes
@@ -180,7 +180,7 @@
     r = world.request()
     world.wait(4000.0)
     assert world.attempts(r) == 1
-    assert not any(w.strikes for w in world.b.fleet.workers.values())
+    assert not any(w.strikes for w in world.balancer.fleet.workers.values())
 
 
 def test_a_job_that_waits_queues_elsewhere_and_the_first_start_calls_the_rest_off() -> None:
@@ -189,9 +189,9 @@
     r = world.request()
     world.wait(600.0)
     assert world.attempts(r) == 2
-    world.b.on_started(world.now, r, 1)
-    assert (r, 0) in world.did.cancelled
-    assert (r, 1) not in world.did.cancelled
+    world.balancer.on_started(world.now, r, 1)
+    assert (r, 0) in world.actions.cancelled
+    assert (r, 1) not in world.actions.cancelled
     world.outcome(r, 0, Status.CANCELLED)
     world.wait(600.0)
     assert world.attempts(r) == 2  # what runs is waited for, though there is room for another
@@ -204,7 +204,7 @@
         world.wait(600.0)
         assert world.attempts(r) == copy + 1
         world.outcome(r, copy, Status.CONNECT_FAILED, 1.0)
-        assert sum(a.open for a in world.b.jobs[r].attempts) == 1
+        assert sum(a.open for a in world.balancer.jobs[r].attempts) == 1
     world.wait(600.0)
     assert world.attempts(r) == 5  # all that the settings give
 
@@ -213,22 +213,22 @@
     world = World(workers=8, tells_start=True)
     r = world.request()
     world.wait(300.0)
-    world.b.on_started(world.now, r, 0)
-    world.b.on_started(world.now, r, 1)
-    assert [a for q, a in world.did.cancelled if q == r] == [1]
+    world.balancer.on_started(world.now, r, 0)
+    world.balancer.on_started(world.now, r, 1)
+    assert [a for q, a in world.actions.cancelled if q == r] == [1]
 
 
 def test_the_copy_that_began_first_goes_on() -> None:
     world = World(workers=8, tells_start=True)
     r = world.request()
     world.wait(300.0)
-    world.b.on_started(world.now, r, 0)
-    world.did.cancelled.clear()
-    for a in world.b.jobs[r].attempts:
+    world.balancer.on_started(world.now, r, 0)
+    world.actions.cancelled.clear()
+    for a in world.balancer.jobs[r].attempts:
         a.cancelled = False  # the calls to stop crossed with the start
-    world.b.on_started(world.now + 1.0, r, 1)
-    assert (r, 1) in world.did.cancelled
-    assert (r, 0) not in world.did.cancelled
+    world.balancer.on_started(world.now + 1.0, r, 1)
+    assert (r, 1) in world.actions.cancelled
+    assert (r, 0) not in world.actions.cancelled
 
 
 def test_no_copies_of_unsafe_work_or_where_forbidden() -> None:
@@ -251,7 +251,7 @@
     for _ in range(50):
         world.serve(world.request(hint_ms=100.0), 100.0)
     r = world.request(hint_ms=100.0, left_ms=2000.0)
-    assert world.did.refused == [r]
+    assert world.actions.refused == [r]
     assert world.attempts(r) == 0
 
 
@@ -261,14 +261,14 @@
     )
     for i in range(300):
         r = world.request(tenant=1)
-        if r not in world.did.refused:
+        if r not in world.actions.refused:
             world.serve(r, report=(100.0, 0.0, 9.0 * (i % 2), 9.0))
         world.wait(20.0)
-    world.did.refused.clear()
+    world.actions.refused.clear()
     greedy = [world.request(tenant=0) for _ in range(40)]
     within = [world.request(tenant=1) for _ in range(10)]
-    assert sum(r in world.did.refused for r in greedy) > 25
-    assert sum(r in world.did.refused for r in within) < 5
+    assert sum(r in world.actions.refused for r in greedy) > 25
+    assert sum(r in world.actions.refused for r in within) < 5
 
 
 def test_low_value_work_goes_first_when_own_jobs_start_late() -> None:
@@ -280,19 +280,19 @@
     for _ in range(40):
         world.request(1)
         world.wait(200.0)
-    world.did.refused.clear()
+    world.actions.refused.clear()
     cheaps = [world.request(0) for _ in range(20)]
-    assert sum(r in world.did.refused for r in cheaps) > 10
-    world.b.strain = 0.5
+    assert sum(r in world.actions.refused for r in cheaps) > 10
+    world.balancer.strain = 0.5
     dears = [world.request(1) for _ in range(20)]
-    assert not any(r in world.did.refused for r in dears)
+    assert not any(r in world.actions.refused for r in dears)
 
 
 def test_of_equal_work_what_takes_more_slots_goes_first() -> None:
     world = World(workers=1, tells_start=True, classes=(ClassSettings(aim_ms=300.0, deadline_ms=5000.0),))
-    world.b.strain = 0.75  # past what four slots are worth, short of what one is
+    world.balancer.strain = 0.75  # past what four slots are worth, short of what one is
     one, four = world.request(slots=1.0), world.request(slots=4.0)
-    assert (world.did.refused, world.worker_of(one)) == ([four], 1)
+    assert (world.actions.refused, world.worker_of(one)) == ([four], 1)
 
 
 def test_valuable_work_may_wait_longer_and_the_refused_are_told_to_return_in_time() -> None:
@@ -301,7 +301,7 @@
     world.serve(world.request(), report=(1.0, 0.0, 100.0))
     world.serve(world.request(), report=(0.0, 3.0, 100.0))  # a wait of 400 ms
     cheap = world.request(1)
-    assert world.did.refused == [cheap] and 180.0 <= world.did.returns[0] <= 420.0
+    assert world.actions.refused == [cheap] and 180.0 <= world.actions.returns[0] <= 420.0
     assert world.attempts(world.request(0)) == 1
 
 
@@ -312,7 +312,7 @@
     world.serve(world.request(), report=(0.0, 90.0, 100.0))
     for _ in range(200):
         world.request()
-    returns = sorted(world.did.returns)
+    returns = sorted(world.actions.returns)
     assert len(returns) == 200
     assert max(b - a for a, b in zip(returns, returns[20:], strict=False)) < 0.5 * (returns[-1] - returns[0])
     assert returns[-1] - returns[0] > 100.0
@@ -326,7 +326,7 @@
     world.serve(world.request(), report=(1.0, 0.0, 100.0))
     world.serve(world.request(), report=(0.0, 3.0, 100.0))  # a wait of 400 ms
     late = world.request(1)
-    assert world.did.refused == [late]
+    assert world.actions.refused == [late]
 
 
 # Guards against a zone that is back and is tried with three jobs in a hundred: its workers stood idle.
@@ -334,9 +334,9 @@
 def test_a_zone_whose_workers_have_just_started_is_used_at_once(age: float, used: bool) -> None:
     world = World(entries=[entry(1), entry(2, zone=1)], zones=2)
     world.now = 100_000.0
-    world.b.reach.failing[1] = 0.99
-    world.b.on_workers(world.now, ListKind.CHANGES, [entry(2, zone=1, ready_at=world.now - age)])
-    assert all(world.b.reach.zones(world.b.rng.random) == () for _ in range(20)) is used
+    world.balancer.reach.failing[1] = 0.99
+    world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(2, zone=1, ready_at=world.now - age)])
+    assert all(world.balancer.reach.zones(world.balancer.rng.random) == () for _ in range(20)) is used
 
 
 def test_log_lines_are_bounded() -> None:
@@ -346,7 +346,7 @@
         for i in range(3):
             world.outcome(r, i, Status.CONNECT_FAILED, 250.0)
         world.wait(500.0)
-    assert 0 < len(world.did.lines) <= 12
+    assert 0 < len(world.actions.lines) <= 12
 
 
 def test_same_events_same_actions() -> None:
@@ -357,7 +357,7 @@
             if i % 3:
                 world.serve(r, 50.0 + i)
             world.wait(7.0)
-        return world.did.sends
+        return world.actions.sends
 
     assert run() == run()
 
@@ -402,32 +402,32 @@
     world = World(workers=4, tells_start=True, second_copies=False)
     r = world.request(hint_ms=1000.0)
     world.wait(1300.0)
-    world.b.on_started(world.now, r, 0)
-    assert not world.did.cancelled
+    world.balancer.on_started(world.now, r, 0)
+    assert not world.actions.cancelled
     r = world.request(hint_ms=1000.0)
-    world.b.run = [3.0]
-    world.b.on_started(world.now, r, 0)
-    assert (r, 0) in world.did.cancelled
+    world.balancer.run = [3.0]
+    world.balancer.on_started(world.now, r, 0)
+    assert (r, 0) in world.actions.cancelled
 
 
 def test_a_job_that_cannot_start_in_time_is_answered_before_its_aim() -> None:
     world = World(workers=4, tells_start=True, second_copies=False)
     r = world.request(hint_ms=1000.0)
     world.wait(1500.0)
-    assert world.did.refused == [r]
+    assert world.actions.refused == [r]
 
 
 def test_progress_that_will_end_too_late_is_given_up() -> None:
     world = World(workers=4, tells_start=True, progress_ms=500.0)
     r = world.request(hint_ms=1000.0)
-    world.b.on_started(world.now, r, 0)
+    world.balancer.on_started(world.now, r, 0)
     world.wait(1000.0)
-    world.b.on_progress(world.now, r, 0, 0.5)
-    assert not world.did.refused
+    world.balancer.on_progress(world.now, r, 0, 0.5)
+    assert not world.actions.refused
     world.wait(500.0)
-    world.b.on_progress(world.now, r, 0, 0.51)
-    assert world.did.refused == [r]
-    assert (r, 0) in world.did.cancelled
+    world.balancer.on_progress(world.now, r, 0, 0.51)
+    assert world.actions.refused == [r]
+    assert (r, 0) in world.actions.cancelled
 
 
 def test_a_zone_without_connections_is_left_alone_but_for_trials() -> None:
@@ -436,11 +436,11 @@
     for _ in range(6):
         r = world.request()
         for i in range(4):
-            if i < world.attempts(r) and not world.b.jobs[r].over:
-                far = world.b.fleet.workers[world.worker_of(r, i)].zone == 0
+            if i < world.attempts(r) and not world.balancer.jobs[r].over:
+                far = world.balancer.fleet.workers[world.worker_of(r, i)].zone == 0
                 world.outcome(r, i, Status.CONNECT_FAILED if far else Status.OK, 250.0)
                 if not far:
                     break
-    assert world.b.reach.failing[0] > 0.5
-    sends = [world.b.fleet.workers[world.worker_of(world.request())].zone for _ in range(30)]
+    assert world.balancer.reach.failing[0] > 0.5
+    sends = [world.balancer.fleet.workers[world.worker_of(world.request())].zone for _ in range(30)]
     assert sum(z == 0 for z in sends) <= 3
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -136,7 +136,7 @@
     sink.send(0x4828A5D3A91C4, 0x03124A07, 80.0)
     sink.set_timer(500.0, 77)
     sink.log("two servers known")
-    sink.tell(-1, b"hi 7")
+    sink.send_to_peer(-1, b"hi 7")
     assert host.out == [
         bytes.fromhex("41 00000003 0004828a5d3a91c4 03124a07 4054000000000000" + "00" * 7),
         bytes.fromhex("45 00000003 407f400000000000 000000000000004d" + "00" * 11),
