--- a/gaphub/net/arrival.py
+++ b/gaphub/net/arrival.py
@@ -54,7 +54,7 @@
         super().__init__(self.selector)
 
 
-def tcp_info(sock: socket.socket, place: int) -> int | None:
+def tcp_info_field(sock: socket.socket, place: int) -> int | None:
     """A 32-bit number at a place in the kernel's ``struct tcp_info``; None where it does not tell."""
     try:
         raw = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
@@ -67,25 +67,25 @@
 
 def since_last_data_ms(sock: socket.socket) -> float | None:
     """How long ago a TCP connection last received data, by the kernel; None where that does not tell."""
-    return tcp_info(sock, LAST_DATA_RECEIVED)
+    return tcp_info_field(sock, LAST_DATA_RECEIVED)
 
 
-def since_connected_ms(sock: socket.socket) -> float:
+def connection_age_ms(sock: socket.socket) -> float:
     """How long ago a TCP connection that is being accepted was made; ms, 0 where the kernel does not tell.
 
     The one round trip that the kernel has seen by then is that of the handshake.  It ends with the first segment
     that was not put off (TCP_DEFER_ACCEPT), so it holds the time for which the client had sent nothing.  Where
     several segments have come, the last one is what counts, and the time is too short.
     """
-    return float(tcp_info(sock, LAST_ACK_RECEIVED) or 0) + (tcp_info(sock, ROUND_TRIP) or 0) / 1000.0
+    return float(tcp_info_field(sock, LAST_ACK_RECEIVED) or 0) + (tcp_info_field(sock, ROUND_TRIP) or 0) / 1000.0
 
 
-def data_segments(sock: socket.socket) -> int:
+def received_segments(sock: socket.socket) -> int:
     """In how many segments a TCP connection's bytes have come so far; 0 where the kernel does not tell."""
-    return tcp_info(sock, DATA_SEGMENTS) or 0
+    return tcp_info_field(sock, DATA_SEGMENTS) or 0
 
 
-def age_ms(sock: socket.socket, loop: asyncio.AbstractEventLoop) -> float:
+def data_age_ms(sock: socket.socket, loop: asyncio.AbstractEventLoop) -> float:
     """How long ago bytes that the loop has just read had come, at the most; ms, 0 where nothing tells."""
     known = since_last_data_ms(sock)
     if known is not None:
@@ -96,20 +96,20 @@
 class ArrivalLog:
     """When the bytes of one stream arrived, by their place in it.  Pure; times in any one unit."""
 
-    MOST = 64  # entries; beyond it later bytes count as come with the last ones before them
+    MAX_ENTRIES = 64  # entries; beyond it later bytes count as come with the last ones before them
 
     def __init__(self) -> None:
         self._chunks: deque[tuple[int, float]] = deque()  # where each ends, and when it came
         self._end = 0
 
-    def note(self, count: int, at: float) -> None:
+    def record(self, count: int, at: float) -> None:
         """So many bytes more have come."""
         self._end += count
-        if len(self._chunks) >= self.MOST:
+        if len(self._chunks) >= self.MAX_ENTRIES:
             at = self._chunks.pop()[1]
         self._chunks.append((self._end, at))
 
-    def of(self, place: int) -> float | None:
+    def time_of(self, place: int) -> float | None:
         """When the byte at a place came; None: it has not.  What stands before it is forgotten."""
         while self._chunks and self._chunks[0][0] <= place:
             self._chunks.popleft()
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -16,7 +16,7 @@
 from ...messages import Fence
 from ...metrics import Counters
 from ...tasks import Tasks
-from ..arrival import since_connected_ms
+from ..arrival import connection_age_ms
 from ..listener import BACKLOG, BACKLOG_ENDING, DEFERRED_MS, Acceptor, defer_silent, shut_if_silent
 from . import reuseport, tunables
 from .drain import Drain
@@ -196,7 +196,7 @@
 
     async def _take_in(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        since = self.core.clock.now() - since_connected_ms(sock)
+        since = self.core.clock.now() - connection_age_ms(sock)
         try:
             reader = asyncio.StreamReader(limit=tunables.RECEIVE)
             protocol = SessionProtocol(reader, self.core.clock.now)
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from ..arrival import ArrivalLog, age_ms, data_segments, since_last_data_ms
+from ..arrival import ArrivalLog, data_age_ms, received_segments, since_last_data_ms
 from . import tunables
 
 
@@ -51,10 +51,10 @@
         assert self._socket is not None
         # Guards against a client that goes on writing while it waits to be accepted: all that was read as one
         # piece, and it was taken for one that begins a request and stops.
-        self.pieces += 1 if self.pieces else max(1, data_segments(self._socket))
+        self.pieces += 1 if self.pieces else max(1, received_segments(self._socket))
         self.read_at = self.now()
-        self.heard_at = self.read_at - age_ms(self._socket, asyncio.get_running_loop())
-        self.arrivals.note(len(data), self.heard_at)
+        self.heard_at = self.read_at - data_age_ms(self._socket, asyncio.get_running_loop())
+        self.arrivals.record(len(data), self.heard_at)
         super().data_received(data)
 
     def eof_received(self) -> bool | None:
@@ -106,7 +106,7 @@
 
     def arrived_at(self, http: h11.Connection, now: float) -> float:
         """When the first byte that ``http`` has yet to parse had come to this machine; ``now`` at the latest."""
-        known = self.protocol.arrivals.of(self.taken - len(http.trailing_data[0]))
+        known = self.protocol.arrivals.time_of(self.taken - len(http.trailing_data[0]))
         return now if known is None else min(now, known)
 
     @property
--- a/gaphub/net/listener.py
+++ b/gaphub/net/listener.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from ..metrics import Counters
-from .arrival import tcp_info
+from .arrival import tcp_info_field
 
 # Connections that may wait to be accepted; the kernel may allow fewer (net.core.somaxconn).  One that finds the
 # queue full is not refused: its SYN is dropped, and its client tries again after 1, 2 and 4 s.
@@ -32,7 +32,7 @@
 
 def waiting(listener: socket.socket) -> int:
     """How many connections wait to be accepted; 1 where some do and the kernel does not tell how many."""
-    return max(tcp_info(listener, QUEUE_LENGTH) or 0, int(readable(listener.fileno())))
+    return max(tcp_info_field(listener, QUEUE_LENGTH) or 0, int(readable(listener.fileno())))
 
 
 def readable(descriptor: int) -> bool:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -29,7 +29,7 @@
 import pytest
 
 from gaphub.lab.world import Agent, Workers
-from gaphub.net.arrival import tcp_info
+from gaphub.net.arrival import tcp_info_field
 from gaphub.net.http import ClientSession, Inbound, tunables
 
 from .crowd import HALF_A_HEAD, crowd
@@ -103,7 +103,7 @@
         async with asyncio.timeout(PATIENCE_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             found.connect_s = time.monotonic() - began
-            found.dropped = tcp_info(writer.get_extra_info("socket"), TOTAL_RETRANS) or 0
+            found.dropped = tcp_info_field(writer.get_extra_info("socket"), TOTAL_RETRANS) or 0
             await asyncio.sleep(pause_s)
             writer.write(f"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: {ident}\r\nX-Priority-Class: poloha\r\n"
                          f"X-Timeout: {TIME_MS}m\r\nContent-Length: 0\r\n\r\n".encode())
@@ -287,7 +287,7 @@
                 sent_again = []
                 for _ in range(GEARMAN_CLIENTS):  # without a turn of the event loop: nobody accepts
                     client = clients.enter_context(socket.create_connection(gearman, PATIENCE_S))
-                    sent_again.append(tcp_info(client, TOTAL_RETRANS))
+                    sent_again.append(tcp_info_field(client, TOTAL_RETRANS))
         assert set(sent_again) == {0}
 
     asyncio.run(run())
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -247,13 +247,13 @@
 
 def test_arrival_times_go_with_the_bytes() -> None:
     log = ArrivalLog()
-    log.note(10, 1.0)
-    log.note(5, 2.0)
-    assert (log.of(0), log.of(9), log.of(10), log.of(14)) == (1.0, 1.0, 2.0, 2.0)
-    assert log.of(15) is None
+    log.record(10, 1.0)
+    log.record(5, 2.0)
+    assert (log.time_of(0), log.time_of(9), log.time_of(10), log.time_of(14)) == (1.0, 1.0, 2.0, 2.0)
+    assert log.time_of(15) is None
     for i in range(10_000):
-        log.note(1, 3.0 + i)
-    assert log.of(15) == 3.0
-    assert len(log._chunks) <= ArrivalLog.MOST
-    last = log.of(10_014)
+        log.record(1, 3.0 + i)
+    assert log.time_of(15) == 3.0
+    assert len(log._chunks) <= ArrivalLog.MAX_ENTRIES
+    last = log.time_of(10_014)
     assert last is not None and 3.0 <= last <= 10_002.0  # never later than it came
