--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -72,7 +72,7 @@
 from ...metrics import Counters
 from ...store import Store
 from ...tasks import Tasks
-from ..listener import BACKLOG, shut_if_silent
+from ..listener import BACKLOG, shutdown_if_idle
 from ..timeouts import timeout_after_poll
 from .ends import End, Ends
 from .functions import Functions
@@ -278,7 +278,7 @@
             except TimeoutError:
                 if session.assigned or session.queue or session.waits_for or session.asleep:
                     continue
-                if shut_if_silent(session.writer.get_extra_info("socket")):
+                if shutdown_if_idle(session.writer.get_extra_info("socket")):
                     self.counters.add("gearman.idle_closed")
                     raise
         return await session.reader.readexactly(1)
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -17,7 +17,7 @@
 from ...metrics import Counters
 from ...tasks import Tasks
 from ..arrival import connection_age_ms
-from ..listener import BACKLOG, BACKLOG_ENDING, DEFERRED_MS, Acceptor, defer_silent, shut_if_silent
+from ..listener import BACKLOG, DEFER_FLUSH_MS, SHUTDOWN_BACKLOG, Acceptor, set_defer_accept, shutdown_if_idle
 from . import reuseport, tunables
 from .drain import Drain
 from .handler import RequestHandler
@@ -66,8 +66,8 @@
         # Guards against a crowd that connects and says nothing: it held the places of others, and a client whose
         # own machine came to write late was closed unread to make room.
         # Not where a process that ends has no time to take those in that the kernel keeps.
-        if self.drain.lasts_ms(self._longest_deadline_ms()) >= DEFERRED_MS:
-            self._defers = defer_silent(listener, True)
+        if self.drain.lasts_ms(self._longest_deadline_ms()) >= DEFER_FLUSH_MS:
+            self._defers = set_defer_accept(listener, True)
         if self.shared:
             reuseport.share_out(listener)  # a process that left may have had all given to its successor
         self._acceptor = Acceptor(listener, self, self.counters, "connections")
@@ -83,15 +83,15 @@
         self._accepting.cancel()
         await asyncio.wait([self._accepting])
         ends_at = self.drain.ends_at + tunables.LEAVE_LAST_MS
-        if left := await self._acceptor.finish(lambda: self.core.clock.now() > ends_at):
+        if left := await self._acceptor.drain_and_close(lambda: self.core.clock.now() > ends_at):
             self.counters.log("connections.left_waiting", f"{left} at the end")
         self._acceptor = self._listener = None
 
     def _stop_deferring(self) -> None:
         """Have the kernel hand over connections that have sent nothing, as a close would reset them."""
         if self._defers and self._listener is not None:
-            self._defers = defer_silent(self._listener, False)
-            self._deferred_until = self.core.clock.now() + DEFERRED_MS
+            self._defers = set_defer_accept(self._listener, False)
+            self._deferred_until = self.core.clock.now() + DEFER_FLUSH_MS
 
     async def leave(self, others_serve: Callable[[], bool], successor: bool = False,
                     place: int = reuseport.SECOND) -> None:
@@ -123,7 +123,7 @@
         self.drain.leaving = True
         if self._listener is not None:
             # Guards against a crowd that fills the queue up to the end: what waits at the close is to be taken in.
-            self._listener.listen(BACKLOG_ENDING)
+            self._listener.listen(SHUTDOWN_BACKLOG)
         while True:
             while self.sessions or self._arriving or self.core.open_jobs:
                 self.drain.hasten(self._longest_deadline_ms())
@@ -161,7 +161,7 @@
         as idle since it was made: what lies in the kernel is looked at.
         """
         for session in list(self.sessions.values()):
-            if session.may_close(before) and shut_if_silent(session.sock):
+            if session.may_close(before) and shutdown_if_idle(session.sock):
                 session.writer.transport.abort()
 
     async def close(self) -> None:
@@ -182,7 +182,7 @@
             self._hurry()
         return self._make_room(wanted)
 
-    def take_in(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         """Serve a connection that was accepted."""
         sock.setblocking(False)
         self._arriving += 1
@@ -222,7 +222,7 @@
         for session in who_may_yield(self.sessions.values(), now):
             if wanted <= 0:
                 break
-            if not shut_if_silent(session.sock):
+            if not shutdown_if_idle(session.sock):
                 self.counters.add("connections.not_yielded")
                 continue
             self._yield(session, now)
--- a/gaphub/net/listener.py
+++ b/gaphub/net/listener.py
@@ -19,9 +19,9 @@
 # Connections that may wait to be accepted; the kernel may allow fewer (net.core.somaxconn).  One that finds the
 # queue full is not refused: its SYN is dropped, and its client tries again after 1, 2 and 4 s.
 BACKLOG = 4096
-BACKLOG_ENDING = 64  # for a listener that is about to close: what waits then has to be accepted at once
+SHUTDOWN_BACKLOG = 64  # for a listener that is about to close: what waits then has to be accepted at once
 DEFER_S = 1  # for which the kernel keeps a connection that has sent nothing; it counts in whole seconds
-DEFERRED_MS = 1_100.0  # after deferring was ended all that were kept have come: the kernel's timers are coarse
+DEFER_FLUSH_MS = 1_100.0  # after deferring was ended all that were kept have come: the kernel's timers are coarse
 ACCEPT_MOST = 64  # connections accepted in one turn of the event loop
 ACCEPT_AGAIN_S = 0.01  # after accepting has failed
 ACCEPT_FAILURES = 4  # in a row, before that pause
@@ -47,7 +47,7 @@
     return bool(poll.poll(0))
 
 
-def defer_silent(listener: socket.socket, wanted: bool) -> bool:
+def set_defer_accept(listener: socket.socket, wanted: bool) -> bool:
     """Have the kernel keep connections until their first bytes come, ``DEFER_S`` at the most; whether it does.
 
     Kept connections take no descriptor and no place in the queue.  They are lost when the listener closes.
@@ -61,7 +61,7 @@
         return False
 
 
-def shut_if_silent(sock: socket.socket) -> bool:
+def shutdown_if_idle(sock: socket.socket) -> bool:
     """End a connection in both directions unless bytes of it lie unread in the kernel; whether it was ended.
 
     Guards against a request that comes after the look and before the close: a transport that is aborted closes its
@@ -83,7 +83,7 @@
     def make_room(self, wanted: int) -> bool:
         """Have some end, as so many wait; whether any is about to."""
 
-    def take_in(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         """Have this one."""
 
 
@@ -113,7 +113,7 @@
             await _until_readable(self.listener)
             await self._pause(self._accept_some())
 
-    async def finish(self, late: Callable[[], bool]) -> int:
+    async def drain_and_close(self, late: Callable[[], bool]) -> int:
         """Accept all who wait, as room comes, and close; how many were left, as it was ``late`` before the end.
 
         What waits at a listener that is closed is reset, though another process listens at the same address; so
@@ -144,7 +144,7 @@
                 if failures >= ACCEPT_FAILURES:
                     return Found.FAILURES
             else:
-                self.owner.take_in(sock)
+                self.owner.connection_accepted(sock)
         return Found.ENOUGH
 
     async def _pause(self, found: Found) -> None:
--- a/gaphub/net/ops.py
+++ b/gaphub/net/ops.py
@@ -20,7 +20,7 @@
 from ..config import Address
 from ..metrics import Counters
 from ..tasks import Tasks
-from .listener import BACKLOG, Acceptor, shut_if_silent
+from .listener import BACKLOG, Acceptor, shutdown_if_idle
 
 READ = 4096
 HEAD_MOST = 8192  # bytes of a call's head
@@ -103,14 +103,14 @@
         for call in self._calls.values():
             if going >= wanted:
                 break
-            if call.reads and not call.yielded and call.heard_at <= before and shut_if_silent(call.sock):
+            if call.reads and not call.yielded and call.heard_at <= before and shutdown_if_idle(call.sock):
                 self.counters.add("ops.made_room")
                 call.yielded = True
                 call.task.cancel()
                 going += 1
         return going > 0
 
-    def take_in(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         """Answer the call of a connection that was accepted."""
         sock.setblocking(False)
         self._serial += 1
