--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -26,7 +26,7 @@
 from .net import destinations as discovery
 from .net import gearman
 from .net.arrival import TimedLoop
-from .net.destinations import DestinationSet
+from .net.destinations import DiscoveryClient
 from .net.gearman import Gearman
 from .net.http import INBOUND_PART, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
@@ -68,7 +68,7 @@
         self.asked = asyncio.Event()
         self.also: list[Callable[[], None]] = []  # what else is read again
 
-    async def run(self, destinations: DestinationSet, core: Core) -> None:
+    async def run(self, destinations: DiscoveryClient, core: Core) -> None:
         """Read the configuration whenever asked; requests to do so that come together are one."""
         while True:
             await self.asked.wait()
@@ -91,7 +91,7 @@
             if waiting:
                 self._counters.log("reloads.need_a_start", ", ".join(waiting))
             self.config = new
-            destinations.move(new.discovery)
+            destinations.set_agent(new.discovery)
 
 
 def held_back() -> None:
@@ -110,7 +110,7 @@
 
 
 def ops_for(listen: Address, config: Config, core: Core, counters: Counters, shelf: Shelf,
-            inbound: Inbound, destinations: DestinationSet) -> Ops:
+            inbound: Inbound, destinations: DiscoveryClient) -> Ops:
     """The operators' address, wired to who knows the answers."""
 
     def move(worker: str, out: bool) -> int:
@@ -126,7 +126,7 @@
 
     def ready() -> bool:
         late = core.clock.now() - began > UNTOLD_MS and core.targets()[0] > 0
-        return inbound.handler.ready and (destinations.told or late)
+        return inbound.handler.ready and (destinations.has_answered or late)
 
     return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
                lambda: core.figures.show(core.concurrent, *core.targets()), move)
@@ -141,7 +141,7 @@
     # Sessions of the Gearman front take their descriptors from the clients' part.
     part = 1.0 - gearman.SESSIONS_PART / INBOUND_PART if config.fronts.gearman.listen else 1.0
     inbound = Inbound(config, core, counters, part=part)
-    destinations = DestinationSet(config, core, counters)
+    destinations = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
     gearmen = Gearman(config, core, counters, store, stop.set)
@@ -174,7 +174,7 @@
     core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearmen}
     core.list_port = destinations
     core.peer_port = peers
-    destinations.start_from_known()
+    destinations.publish_cached()
     if core.inherit(shelf.legacy()):
         counters.add("ops.inherited")
     actors = Tasks(counters)
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -24,29 +24,30 @@
 # counts as told 6 s after that, or 2 s after the wait where that is later; until it is opened anew no worker
 # that joins is known.  The agent is on this machine and answers at no cost, so the wait is short.
 WATCH_MS = 1_000
-SILENT_S = 0.5  # past the wait, without an answer: the agent is silent and the call is begun again
-CALL_S = 2.0  # for a call that may not wait
-AGAIN_S = 0.1  # after a failed call, doubling up to the next
-AGAIN_MOST_S = 0.8  # where lists are asked for: after a move the list counts as told within seconds
+WATCH_MARGIN_S = 0.5  # past the wait, without an answer: the agent is silent and the call is begun again
+CALL_TIMEOUT_S = 2.0  # for a call that may not wait
+RETRY_MIN_S = 0.1  # after a failed call, doubling up to the next
+RETRY_MAX_S = 0.8  # where lists are asked for: after a move the list counts as told within seconds
 # Where lists are pushed the agent is on this machine, answers at no cost, and what it has counts as told at once,
 # also when it has just come back: it is called again soon enough to keep the grace of a drain.
-PUSHED_MOST_S = 0.2  # a watch goes on if the next call comes within this time
-GRACE_PART = 0.25  # of the grace of a drain
-PUSHED_LEAST_S = 0.02  # however short the grace
-# A watch that is answered at once with nothing new is begun again only after AGAIN_S; one that brings news at
-# once QUICK times in a row, after BUSY_S.  Both are well within the time in which a watch goes on.
-AT_ONCE_S = 0.02
-QUICK = 8
-BUSY_S = 0.05
+PUSHED_RETRY_MAX_S = 0.2  # a watch goes on if the next call comes within this time
+GRACE_FRACTION = 0.25  # of the grace of a drain
+PUSHED_RETRY_MIN_S = 0.02  # however short the grace
+# A watch that is answered at once with nothing new is begun again only after RETRY_MIN_S; one that brings news at
+# once IMMEDIATE_MAX times in a row, after IMMEDIATE_PAUSE_S.  Both are well within the time in which a watch goes
+# on.
+IMMEDIATE_ANSWER_S = 0.02
+IMMEDIATE_MAX = 8
+IMMEDIATE_PAUSE_S = 0.05
 # Where lists are asked for, the module waits longer after each failure, and spreads its first call over the time
 # that the settings give, as calls to discovery itself cost.  The agent's do not, and what it has counts as told
 # 6 s later, asked for or not: after so long without a word of the module's the watch is opened all the same.
-UNASKED_S = 2.0
+UNREQUESTED_AFTER_S = 2.0
 SOURCE = "discovery"
 _STATES = {"active": WorkerState.READY, "leaving": WorkerState.DRAINING, "left": WorkerState.GONE}
 
 
-class DestinationSet:
+class DiscoveryClient:
     """The actor of the list; its mailbox takes what the core asks for."""
 
     def __init__(self, config: Config, core: Core, counters: Counters) -> None:
@@ -59,7 +60,7 @@
         self.version = config.known.version
         self.following = not config.settings.must_ask
         self.stopped = False  # by the module's word
-        self.told = False  # whether the agent has said anything since the start
+        self.has_answered = False  # whether the agent has said anything since the start
         # Whether the whole list is owed, up to one that can be read.  First where readiness waits for it: a watch
         # may have nothing to say.
         self._whole = config.admin is not None
@@ -70,7 +71,7 @@
 
     # -- what the core and the configuration ask --
 
-    def move(self, agent: Address) -> None:
+    def set_agent(self, agent: Address) -> None:
         """The agent has another address from now on; what it named so far stays named until it answers."""
         if agent != self.agent:
             self.agent = agent
@@ -94,7 +95,7 @@
 
     # -- the actor --
 
-    def start_from_known(self) -> None:
+    def publish_cached(self) -> None:
         """Tell the core the list as this scheduler last held it."""
         self.core.listed(SOURCE, ListKind.CACHED, self._entries(self.known))
 
@@ -137,16 +138,16 @@
         """The longest pause after failed calls, by the settings in force."""
         settings = self.core.settings
         if settings.must_ask:
-            return AGAIN_MOST_S
-        return max(PUSHED_LEAST_S, min(PUSHED_MOST_S, GRACE_PART * settings.drain_grace_ms / 1000.0))
+            return RETRY_MAX_S
+        return max(PUSHED_RETRY_MIN_S, min(PUSHED_RETRY_MAX_S, GRACE_FRACTION * settings.drain_grace_ms / 1000.0))
 
     def _first_pause_s(self) -> float:
-        return min(AGAIN_S, self._longest_pause_s())
+        return min(RETRY_MIN_S, self._longest_pause_s())
 
     async def _next_asked(self) -> str:
         """What the module asks for next; a watch, if it is silent for too long and has not stopped one."""
         try:
-            async with asyncio.timeout(None if self.stopped else UNASKED_S):
+            async with asyncio.timeout(None if self.stopped else UNREQUESTED_AFTER_S):
                 return await self._asked.get()
         except TimeoutError:
             self.counters.add("lists.unasked")
@@ -174,19 +175,19 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         news = await self._call(whole)
-        self._quick = self._quick + 1 if loop.time() - began < AT_ONCE_S else 0
+        self._quick = self._quick + 1 if loop.time() - began < IMMEDIATE_ANSWER_S else 0
         if self._quick and not news and not whole:
             await asyncio.sleep(self._first_pause_s())
-        elif self._quick > QUICK:
-            await asyncio.sleep(BUSY_S)
+        elif self._quick > IMMEDIATE_MAX:
+            await asyncio.sleep(IMMEDIATE_PAUSE_S)
 
     async def _call(self, whole: bool) -> bool:
         """One call and the list it brought; whether there was any news in it."""
         target = "/api/targets" if whole else f"/api/targets?index={self.version}&wait={WATCH_MS}"
-        async with asyncio.timeout(CALL_S if whole else WATCH_MS / 1000.0 + SILENT_S):
+        async with asyncio.timeout(CALL_TIMEOUT_S if whole else WATCH_MS / 1000.0 + WATCH_MARGIN_S):
             if self._wire is None or not self._wire.reusable:
                 self._drop()
-                self._wire = await Connection.connect(self.agent, CALL_S)
+                self._wire = await Connection.connect(self.agent, CALL_TIMEOUT_S)
             await self._wire.send("GET", target, [(b"Host", f"{self.agent[0]}:{self.agent[1]}".encode())], b"")
             event = await self._wire.event()
             body = await self._wire.body(16 * 1024 * 1024)
@@ -200,7 +201,7 @@
             await asyncio.sleep(self._first_pause_s())
             return True
         self.version = found.version
-        self.told = True
+        self.has_answered = True
         self._whole = self._whole and not whole
         if entries or found.full:
             kind = ListKind.FULL if found.full else ListKind.CHANGES
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -908,23 +908,23 @@
 @pytest.mark.parametrize("name", WATCHES)
 def test_watches(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if "SIGHUP" not in name:
-        monkeypatch.setattr(destinations, "SILENT_S", -0.7)  # of 1 s that the call may wait
+        monkeypatch.setattr(destinations, "WATCH_MARGIN_S", -0.7)  # of 1 s that the call may wait
     play(ONE + WATCHES[name])
 
 
 @pytest.mark.parametrize("fault", [RuntimeError, ValueError])
 def test_a_watch_outlives_whatever_its_own_code_raises(fault: type[Exception],
                                                        monkeypatch: pytest.MonkeyPatch) -> None:
-    entries = destinations.DestinationSet._entries
+    entries = destinations.DiscoveryClient._entries
     raised: list[int] = []
 
-    def faulty(self: destinations.DestinationSet, found: Any) -> Any:
+    def faulty(self: destinations.DiscoveryClient, found: Any) -> Any:
         if found.version == 42 and not raised:
             raised.append(1)
             raise fault("a fault of ours")
         return entries(self, found)
 
-    monkeypatch.setattr(destinations.DestinationSet, "_entries", faulty)
+    monkeypatch.setattr(destinations.DiscoveryClient, "_entries", faulty)
     play(ONE + """
         d send list 42 changes w=leaving x=active
         d next
@@ -945,8 +945,8 @@
 
 @pytest.mark.parametrize("failures", ["", "d half list 43 full x=active", "d expect-close"])
 def test_an_asked_list_is_watched_though_the_module_waits(failures: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "UNASKED_S", 0.1)
-    monkeypatch.setattr(destinations, "SILENT_S", -0.7)  # of 1 s that the call may wait
+    monkeypatch.setattr(destinations, "UNREQUESTED_AFTER_S", 0.1)
+    monkeypatch.setattr(destinations, "WATCH_MARGIN_S", -0.7)  # of 1 s that the call may wait
     again = f"{failures}\nd close\nd expect index=41\n" * (3 if failures else 0)
     play(ONE + again + """
         d send list 42 changes w=leaving x=active
@@ -961,7 +961,7 @@
 
 def test_an_asked_list_is_not_watched_against_the_modules_word(cores: list[Core],
                                                                monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "UNASKED_S", 0.05)
+    monkeypatch.setattr(destinations, "UNREQUESTED_AFTER_S", 0.05)
 
     async def run() -> None:
         async with Cast(settings=ASKED) as cast:
--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -204,8 +204,8 @@
 
 def test_the_longest_wait_after_a_failure_and_a_call_that_hangs_then_leave_time_for_one_that_is_answered() -> None:
     """Back-offs longer than the scenarios' outages would pass them."""
-    hangs_s = max(destinations.CALL_S, destinations.WATCH_MS / 1000.0 + destinations.SILENT_S)
-    assert destinations.AGAIN_MOST_S + destinations.UNASKED_S + hangs_s < TOLD_S - 1.0
+    hangs_s = max(destinations.CALL_TIMEOUT_S, destinations.WATCH_MS / 1000.0 + destinations.WATCH_MARGIN_S)
+    assert destinations.RETRY_MAX_S + destinations.UNREQUESTED_AFTER_S + hangs_s < TOLD_S - 1.0
 
 
 # --- nine in ten restarted processes are ready within 10 s ----------------------------------------------
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -15,7 +15,7 @@
 from gaphub.interface import ClassSettings, ListKind, Settings, WorkerState
 from gaphub.messages import Listed
 from gaphub.metrics import Counters
-from gaphub.net.destinations import AGAIN_S, BUSY_S, QUICK
+from gaphub.net.destinations import IMMEDIATE_MAX, IMMEDIATE_PAUSE_S, RETRY_MIN_S
 
 from .scenario import Cast
 from .test_core import Port
@@ -42,7 +42,7 @@
     server = await asyncio.start_server(quiet, "127.0.0.1", 0)
     began = loop.time()
     async with server, Cast(discovery=f"127.0.0.1:{server.sockets[0].getsockname()[1]}"):
-        while seen < 3 * QUICK:
+        while seen < 3 * IMMEDIATE_MAX:
             await asyncio.sleep(0.01)
         took = loop.time() - began
     return seen, took
@@ -55,8 +55,8 @@
     async def run() -> None:
         async with asyncio.timeout(30.0):
             seen, took = await calls({"version": 42, "full": full, "servers": []})
-        pause = BUSY_S if full else AGAIN_S
-        assert seen <= 2 * QUICK + took / pause
+        pause = IMMEDIATE_PAUSE_S if full else RETRY_MIN_S
+        assert seen <= 2 * IMMEDIATE_MAX + took / pause
 
     asyncio.run(run())
 
