--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -203,7 +203,7 @@
             address.node.set_ready(True)
         await stop.wait()
         gearmen.leave()
-        peers.leave()
+        peers.announce_leaving()
         if successor := bool(shelf.others_began_ns()):
             await peers.close()  # the kernel gives datagrams to one of two sockets: they are the successor's now
         leaves = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -19,7 +19,7 @@
 
 from ...config import Address
 from ...net.destinations import SOURCE
-from ...net.peers import BEAT, BEAT_AMONG, BEAT_S
+from ...net.peers import HEARTBEAT_FULL_RATE_PEERS, HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.messages import DELTA, SNAPSHOT, Kind
 from ...occupancy.pacing import HEARTBEAT_MS, Pacing
 from .points import Told
@@ -74,8 +74,8 @@
 
 
 def beat_pace(plan: HollowPlan) -> float:
-    """How many times ``BEAT_S`` pass between two beats."""
-    return max(1.0, (plan.schedulers - 1) / BEAT_AMONG)
+    """How many times ``HEARTBEAT_INTERVAL_S`` pass between two beats."""
+    return max(1.0, (plan.schedulers - 1) / HEARTBEAT_FULL_RATE_PEERS)
 
 
 class HollowScheduler:
@@ -177,7 +177,7 @@
             one.pacing.turn = self.draw.randrange(1, 1 + one.pacing.snapshot_turns)  # as if it ran for long
             part = i / len(self.schedulers)
             heappush(self._due, (now + part * self.plan.fill_s * 1000.0, _WHOLE, i))
-            heappush(self._due, (now + self.draw.random() * BEAT_S * 1000.0 * self.pace, _BEAT, i))
+            heappush(self._due, (now + self.draw.random() * HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
 
     def advance(self, now: float) -> Iterator[tuple[int, bytes]]:
         """Play on until ``now``: each datagram that goes to every receiver, and which scheduler says it."""
@@ -202,7 +202,7 @@
         if what == _FLUSH:
             return one.flush(now)
         if what == _BEAT:
-            heappush(self._due, (now + BEAT_S * 1000.0 * self.pace, _BEAT, i))
-            return [bytes([BEAT, 1])]
+            heappush(self._due, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
+            return [bytes([HEARTBEAT_TYPE, 1])]
         heappush(self._due, (now + HEARTBEAT_MS * (0.8 + 0.4 * self.draw.random()), _TURN, i))
         return one.turn(now) if what == _TURN else one.say(now, SNAPSHOT)
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -24,7 +24,7 @@
 
 from ...messages import identity
 from ...net.destinations import SOURCE
-from ...net.peers import BEAT, BEAT_S
+from ...net.peers import HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.aggregator import Aggregator
 from ...occupancy.assignment import Assignment
 from ...occupancy.exchange import ALL_PEERS, Outgoing
@@ -141,7 +141,7 @@
                           for i in range(len(plan.listen))]
         self.counts: list[dict[int, int]] = [{} for _ in plan.listen]
         self._due: list[tuple[float, int, int]] = []  # when, what, and at which scheduler
-        self._pace_ms = BEAT_S * 1000.0 * beat_pace(plan)
+        self._pace_ms = HEARTBEAT_INTERVAL_S * 1000.0 * beat_pace(plan)
         for scheduler, worker in self.tasks:
             self._count(scheduler, worker, 1)
         for scheduler, counts in enumerate(self.counts):
@@ -171,7 +171,7 @@
             due, what, i = heappop(self._due)
             if what == _BEAT:
                 heappush(self._due, (now + self._pace_ms, _BEAT, i))
-                yield Said(i, ALL_PEERS, bytes([BEAT, 1]))
+                yield Said(i, ALL_PEERS, bytes([HEARTBEAT_TYPE, 1]))
                 continue
             for receiver, data in self._wake(now, due, i):
                 yield Said(i, receiver, data)
--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -18,10 +18,11 @@
 
 MAILBOX = 64  # datagrams of one peer that wait; more are dropped, as the network may drop any
 NEWS = 4  # datagrams with changes for one peer in a round
-BEAT = 0xC2  # first of the two bytes of a beat; the second is 1 from one that takes new requests, else 0
-BEAT_S = 0.5
+HEARTBEAT_TYPE = 0xC2  # first of the two bytes of a beat; the second is 1 from one that takes new requests, else 0
+HEARTBEAT_INTERVAL_S = 0.5
 BEAT_TTL_MS = 1_300.0  # ms; a peer without a beat for so long takes none
-BEAT_AMONG = 8  # peers; among more, each beats and is waited for in proportion: any one that serves will do
+# Among more peers, each beats and is waited for in proportion: any one that serves will do.
+HEARTBEAT_FULL_RATE_PEERS = 8
 
 
 class _Socket(asyncio.DatagramProtocol):
@@ -61,7 +62,7 @@
             try:
                 if data is None:
                     out = [*store.news(self.number, NEWS), store.digest()]
-                elif data[:1] == bytes([BEAT]):
+                elif data[:1] == bytes([HEARTBEAT_TYPE]):
                     if len(data) != 2 or data[1] > 1:
                         raise GarbledDatagramError("beat")
                     out = []
@@ -96,7 +97,7 @@
         self.allowed = config.settings.may_tell_peers
         self.replicates = bool(config.fronts.gearman.listen)  # the only front that keeps anything in the store
         self.serving = True
-        self.pace = max(1.0, (len(config.peers) - 1) / BEAT_AMONG)
+        self.pace = max(1.0, (len(config.peers) - 1) / HEARTBEAT_FULL_RATE_PEERS)
         self.peers = {to: Peer(i, to, self) for i, to in enumerate(config.peers)
                       if i != config.settings.me}
         self._by_number = {p.number: p for p in self.peers.values()}
@@ -124,7 +125,7 @@
             self._socket.close()
             self._socket = None
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Say at once that new requests are to go elsewhere."""
         self.serving = False
         self._beat()
@@ -135,12 +136,12 @@
 
     def _beat(self) -> None:
         if self._socket is not None:
-            self.tell(-1, bytes([BEAT, self.serving]))
+            self.tell(-1, bytes([HEARTBEAT_TYPE, self.serving]))
 
     async def _beats(self) -> None:
         while True:
             self._beat()
-            await asyncio.sleep(BEAT_S * self.pace)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * self.pace)
 
     async def _rounds(self) -> None:
         """Publish this daemon's counters now and then, and ring one peer a round, in turn."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gaphub.net import http
-from gaphub.net.peers import BEAT
+from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.store import DATAGRAM, MAGIC
 
 from .scenario import SETTINGS, Cast, free_port
@@ -99,7 +99,7 @@
                                       "limits": {**SETTINGS["limits"], "peerMessages": True}}):
                 heard = set()
                 async with asyncio.timeout(5.0):
-                    while BEAT not in heard or (listen and MAGIC[0] not in heard):
+                    while HEARTBEAT_TYPE not in heard or (listen and MAGIC[0] not in heard):
                         heard.add((await asyncio.get_running_loop().sock_recv(peer, 256))[0])
                 await asyncio.sleep(0.3)
                 with suppress(BlockingIOError):
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -34,7 +34,7 @@
 from gaphub.lab.scale.processes import HollowProcess, RealScheduler
 from gaphub.lab.scale.sampling import Sample, measured
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan, read_scenario
-from gaphub.net.peers import BEAT
+from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.occupancy.ledger import Ledger
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
 
@@ -199,7 +199,7 @@
         said += [(now, i, data) for data in one.say(now, DELTA)]
     beats = 0
     for at, i, data in said:
-        if data[0] == BEAT:
+        if data[0] == HEARTBEAT_TYPE:
             beats += 1
             continue
         assert decode(data) is not None
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -17,7 +17,7 @@
 from gaphub.lab.scale.series import Sourced, sort_points
 from gaphub.messages import identity
 from gaphub.net.destinations import SOURCE
-from gaphub.net.peers import BEAT
+from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.occupancy.all_to_all import AllToAll
 from gaphub.occupancy.budget import Limits
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange
@@ -118,7 +118,7 @@
     beats = 0
     for _, _, receiver, data in played.told:
         if receiver == ALL_PEERS:
-            assert data == bytes([BEAT, 1])
+            assert data == bytes([HEARTBEAT_TYPE, 1])
             beats += 1
         else:
             assert 0 <= receiver < REAL
