--- a/gaphub/net/__init__.py
+++ b/gaphub/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires of gaphub: everything that opens a socket."""
+"""Everything in gaphub that opens a socket."""
--- a/gaphub/net/arrival.py
+++ b/gaphub/net/arrival.py
@@ -1,11 +1,12 @@
-"""When bytes that this process reads had reached its machine, which may be earlier than the moment of reading.
+"""Estimates when received bytes reached this host, which may be before this process read them.
 
-A client's deadline counts from its sending.  While the process is busy or stopped, requests lie in the kernel's
-accept queue and socket buffers, and requests sent ahead lie in its own; that time is the client's.
+A client's deadline counts from the time it sent its request.  While the process is busy or stopped, connections
+wait in the kernel's accept queue, bytes in its socket buffers, and pipelined requests in the process's own
+buffers; that time counts against the client's deadline.
 
-Sources: the kernel's ``tcp_info`` (milliseconds since a connection last received data), and where it has none the
-times at which the event loop's selector returned: what a selector finds without having waited may have come at any
-time since it returned before.
+There are two sources: the kernel's ``tcp_info`` (milliseconds since a connection last received data) and, where
+the kernel does not provide it, the times at which the event loop's selector returned.  An event that the selector
+found without blocking may have happened at any time since its previous return.
 """
 
 from __future__ import annotations
@@ -18,32 +19,33 @@
 from collections import deque
 
 TCP_INFO_SIZE = 160  # bytes; older kernels fill in fewer
-LAST_DATA_RECEIVED = 52  # where ``tcpi_last_data_recv`` stands in ``struct tcp_info``: 32 bits, ms
-LAST_ACK_RECEIVED = 56  # and ``tcpi_last_ack_recv``, likewise
-ROUND_TRIP = 68  # and ``tcpi_rtt``, in us
-DATA_SEGMENTS = 152  # and ``tcpi_data_segs_in``
-SLEPT_S = 0.001  # a selector that took longer had to wait for what it found
+# Offsets in ``struct tcp_info``, each of a 32-bit field.
+LAST_DATA_OFFSET = 52  # ``tcpi_last_data_recv``, ms
+LAST_ACK_OFFSET = 56  # ``tcpi_last_ack_recv``, ms
+RTT_OFFSET = 68  # ``tcpi_rtt``, us
+DATA_SEGMENTS_OFFSET = 152  # ``tcpi_data_segs_in``
+BLOCKED_MIN_S = 0.001  # a select() that took longer had to wait for its events
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector that notes when it returned, the last two times, and whether it had to wait."""
+    """A selector that records the times of its last two returns, and whether the last call blocked."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.returned = self.returned_before = time.monotonic()
-        self.slept = True
+        self.returned_at = self.previous_returned_at = time.monotonic()
+        self.blocked = True
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Wait for events; see ``selectors.BaseSelector.select``."""
         began = time.monotonic()
-        found = super().select(timeout)
-        self.returned_before, self.returned = self.returned, time.monotonic()
-        self.slept = self.returned - began > SLEPT_S
-        return found
+        events = super().select(timeout)
+        self.previous_returned_at, self.returned_at = self.returned_at, time.monotonic()
+        self.blocked = self.returned_at - began > BLOCKED_MIN_S
+        return events
 
-    def may_have_waited_s(self) -> float:
-        """How long ago, at the most, what was found last may have come; s."""
-        return time.monotonic() - (self.returned if self.slept else self.returned_before)
+    def max_event_age_s(self) -> float:
+        """Upper bound of the time since the last returned events happened; s."""
+        return time.monotonic() - (self.returned_at if self.blocked else self.previous_returned_at)
 
 
 class TimedLoop(asyncio.SelectorEventLoop):
@@ -54,63 +56,64 @@
         super().__init__(self.selector)
 
 
-def tcp_info_field(sock: socket.socket, place: int) -> int | None:
-    """A 32-bit number at a place in the kernel's ``struct tcp_info``; None where it does not tell."""
+def tcp_info_field(sock: socket.socket, offset: int) -> int | None:
+    """The 32-bit field at an offset in the kernel's ``struct tcp_info``; None if it was not filled in."""
     try:
         raw = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except OSError:
         return None
-    if len(raw) < place + 4 or not raw[0]:  # no socket's state is 0: it was not filled in
+    if len(raw) < offset + 4 or not raw[0]:  # the first byte is the state, never 0 in a struct that was filled in
         return None
-    return int(struct.unpack_from("I", raw, place)[0])
+    return int(struct.unpack_from("I", raw, offset)[0])
 
 
 def since_last_data_ms(sock: socket.socket) -> float | None:
-    """How long ago a TCP connection last received data, by the kernel; None where that does not tell."""
-    return tcp_info_field(sock, LAST_DATA_RECEIVED)
+    """Time since a TCP connection last received data, by the kernel; None if it does not say."""
+    return tcp_info_field(sock, LAST_DATA_OFFSET)
 
 
 def connection_age_ms(sock: socket.socket) -> float:
-    """How long ago a TCP connection that is being accepted was made; ms, 0 where the kernel does not tell.
+    """Time since a TCP connection that is being accepted was established; 0 if the kernel does not provide it.
 
-    The one round trip that the kernel has seen by then is that of the handshake.  It ends with the first segment
-    that was not put off (TCP_DEFER_ACCEPT), so it holds the time for which the client had sent nothing.  Where
-    several segments have come, the last one is what counts, and the time is too short.
+    It is the time since the last ACK plus the round-trip time.  The only round trip that the kernel has measured
+    by then is that of the handshake.  It ends with the first segment that was not put off by TCP_DEFER_ACCEPT, so
+    it includes the time during which the client had sent nothing.  If several segments have arrived, the last ACK
+    came with the last of them, and the result is too small.
     """
-    return float(tcp_info_field(sock, LAST_ACK_RECEIVED) or 0) + (tcp_info_field(sock, ROUND_TRIP) or 0) / 1000.0
+    return float(tcp_info_field(sock, LAST_ACK_OFFSET) or 0) + (tcp_info_field(sock, RTT_OFFSET) or 0) / 1000.0
 
 
 def received_segments(sock: socket.socket) -> int:
-    """In how many segments a TCP connection's bytes have come so far; 0 where the kernel does not tell."""
-    return tcp_info_field(sock, DATA_SEGMENTS) or 0
+    """How many segments with data a TCP connection has received; 0 if the kernel does not provide it."""
+    return tcp_info_field(sock, DATA_SEGMENTS_OFFSET) or 0
 
 
 def data_age_ms(sock: socket.socket, loop: asyncio.AbstractEventLoop) -> float:
-    """How long ago bytes that the loop has just read had come, at the most; ms, 0 where nothing tells."""
-    known = since_last_data_ms(sock)
-    if known is not None:
-        return known
-    return loop.selector.may_have_waited_s() * 1000.0 if isinstance(loop, TimedLoop) else 0.0
+    """Upper bound of the time since the bytes that the loop has just read arrived; ms, 0 if there is no source."""
+    by_kernel_ms = since_last_data_ms(sock)
+    if by_kernel_ms is not None:
+        return by_kernel_ms
+    return loop.selector.max_event_age_s() * 1000.0 if isinstance(loop, TimedLoop) else 0.0
 
 
 class ArrivalLog:
-    """When the bytes of one stream arrived, by their place in it.  Pure; times in any one unit."""
+    """Arrival times of the bytes of one stream, by stream offset.  Pure; times are in any one unit."""
 
-    MAX_ENTRIES = 64  # entries; beyond it later bytes count as come with the last ones before them
+    MAX_ENTRIES = 64  # when full, new bytes are merged into the last entry and get its arrival time
 
     def __init__(self) -> None:
-        self._chunks: deque[tuple[int, float]] = deque()  # where each ends, and when it came
+        self._chunks: deque[tuple[int, float]] = deque()  # (end offset, arrival time) of each chunk
         self._end = 0
 
     def record(self, count: int, at: float) -> None:
-        """So many bytes more have come."""
+        """Record the arrival of ``count`` more bytes."""
         self._end += count
         if len(self._chunks) >= self.MAX_ENTRIES:
             at = self._chunks.pop()[1]
         self._chunks.append((self._end, at))
 
-    def time_of(self, place: int) -> float | None:
-        """When the byte at a place came; None: it has not.  What stands before it is forgotten."""
-        while self._chunks and self._chunks[0][0] <= place:
+    def time_of(self, offset: int) -> float | None:
+        """When the byte at an offset arrived, or None if it has not.  Discards the entries before it."""
+        while self._chunks and self._chunks[0][0] <= offset:
             self._chunks.popleft()
         return self._chunks[0][1] if self._chunks else None
--- a/gaphub/net/timeouts.py
+++ b/gaphub/net/timeouts.py
@@ -1,8 +1,8 @@
-"""Timeouts that do not count a hold-up of this process against the other side.
+"""Timeouts that do not count a stall of this process against the other side.
 
-An event loop that was held up past a timer finds both in its next turn: the timer, and what the other side did
-meanwhile, which lies ready in the kernel.  ``asyncio.timeout`` lets the timer win.  Here what lies ready is taken
-up first.
+After a stall that outlasted a timer, the event loop finds both in its next iteration: the expired timer, and what
+the other side did meanwhile, which lies unread in the kernel.  With ``asyncio.timeout`` the timer wins.  Here the
+pending input is handled first.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-# Turns of the event loop from a socket's readiness to the step of a task that waited for it, and a few more: to
-# open a connection takes four (the socket, the task, the transport, the task again).
-TURNS = 8
+# Iterations of the event loop from a socket's readiness to the step of the task that waited for it, plus a margin:
+# opening a connection takes four (the socket, the task, the transport, the task again).
+LOOP_ITERATIONS = 8
 
 
 @asynccontextmanager
 async def timeout_after_poll(seconds: float) -> AsyncIterator[None]:
     """Raise TimeoutError after ``seconds``, but only once the sockets were polled after that time.
 
-    Guards against judging a peer by a pause of this process: connections that had come up in time counted as
-    refused, and probes that were answered as unanswered.
+    Guards against blaming a peer for a pause of this process: connections that had been established in time
+    counted as refused, and probes that had been answered as unanswered.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as timeout:
         pending: asyncio.Handle | None = None
 
-        def expire(turns: int) -> None:
+        def expire(iterations: int) -> None:
             nonlocal pending
-            if turns:
-                pending = loop.call_soon(expire, turns - 1)
+            if iterations:
+                pending = loop.call_soon(expire, iterations - 1)
             else:
                 timeout.reschedule(loop.time())
 
-        pending = loop.call_later(seconds, expire, TURNS)
+        pending = loop.call_later(seconds, expire, LOOP_ITERATIONS)
         try:
             yield
         finally:
