--- a/gaphub/net/listener.py
+++ b/gaphub/net/listener.py
@@ -1,6 +1,6 @@
-"""Listening sockets: how many connections wait at one, and accepting them within the room that their owner has.
+"""Listening sockets: the length of an accept queue, and accepting connections within their owner's capacity.
 
-It must never read from a connection, nor close one by itself: the owner does.
+This module must never read from a connection nor close one by itself: the owner does.
 """
 
 from __future__ import annotations
@@ -16,29 +16,31 @@
 from ..metrics import Counters
 from .arrival import tcp_info_field
 
-# Connections that may wait to be accepted; the kernel may allow fewer (net.core.somaxconn).  One that finds the
-# queue full is not refused: its SYN is dropped, and its client tries again after 1, 2 and 4 s.
+# Size of the accept queue; the kernel may allow fewer (net.core.somaxconn).  A connection that finds the queue
+# full is not refused: its SYN is dropped, and the client's kernel retransmits it after 1, 2 and 4 s.
 BACKLOG = 4096
-SHUTDOWN_BACKLOG = 64  # for a listener that is about to close: what waits then has to be accepted at once
-DEFER_S = 1  # for which the kernel keeps a connection that has sent nothing; it counts in whole seconds
-DEFER_FLUSH_MS = 1_100.0  # after deferring was ended all that were kept have come: the kernel's timers are coarse
-ACCEPT_MOST = 64  # connections accepted in one turn of the event loop
-ACCEPT_AGAIN_S = 0.01  # after accepting has failed
-ACCEPT_FAILURES = 4  # in a row, before that pause
-WANTED_MOST = 1024  # connections that are to make room at one look; their owner has a bound of its own
-ROOM_AGAIN_S = 0.005  # from making room to the next look
-QUEUE_LENGTH = 24  # where ``tcpi_unacked`` stands in ``struct tcp_info``: of a listener, connections that wait
+SHUTDOWN_BACKLOG = 64  # for a listener about to close: all connections in its queue must be accepted at once
+DEFER_ACCEPT_S = 1  # for which the kernel keeps a connection that has sent nothing; it counts in whole seconds
+# After deferring is switched off, all kept connections reach the queue within this time: the kernel's timers are
+# coarse.
+DEFER_FLUSH_MS = 1_100.0
+ACCEPT_BATCH = 64  # connections accepted in one iteration of the event loop
+ACCEPT_RETRY_S = 0.01  # pause after ACCEPT_FAILURES_MAX failures
+ACCEPT_FAILURES_MAX = 4  # in one batch
+ROOM_WANTED_MAX = 1024  # connections that one call of ``make_room`` asks for; the owner has its own limit
+ROOM_RETRY_S = 0.005  # from making room to the next attempt to accept
+UNACKED_OFFSET = 24  # of ``tcpi_unacked`` in ``struct tcp_info``: for a listener, the length of its accept queue
 
 
-def waiting(listener: socket.socket) -> int:
-    """How many connections wait to be accepted; 1 where some do and the kernel does not tell how many."""
-    return max(tcp_info_field(listener, QUEUE_LENGTH) or 0, int(readable(listener.fileno())))
+def pending_connections(listener: socket.socket) -> int:
+    """How many connections wait to be accepted; 1 if some do and the kernel does not say how many."""
+    return max(tcp_info_field(listener, UNACKED_OFFSET) or 0, int(has_input(listener.fileno())))
 
 
-def readable(descriptor: int) -> bool:
-    """Whether something lies ready in the kernel: bytes, an end, or a connection to accept.
+def has_input(descriptor: int) -> bool:
+    """Whether the kernel has input for a descriptor: unread bytes, an end of stream, or a connection to accept.
 
-    A descriptor that is closed (-1) has come to its end.
+    A closed descriptor (-1) counts as being at its end of stream.
     """
     if descriptor < 0:
         return True
@@ -48,141 +50,144 @@
 
 
 def set_defer_accept(listener: socket.socket, wanted: bool) -> bool:
-    """Have the kernel keep connections until their first bytes come, ``DEFER_S`` at the most; whether it does.
+    """Switch TCP_DEFER_ACCEPT on or off; whether it is on then.
 
-    Kept connections take no descriptor and no place in the queue.  They are lost when the listener closes.
+    While it is on, the kernel keeps connections until their first bytes arrive, at most ``DEFER_ACCEPT_S``.  Kept
+    connections use no descriptor and no place in the accept queue.  They are lost when the listener closes.
 
-    Source: tcp(7), TCP_DEFER_ACCEPT; where it is not to be had, connections are accepted as soon as they are made.
+    Source: tcp(7).  On systems without the option, connections are accepted as soon as they are established.
     """
     try:
-        listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, DEFER_S if wanted else 0)
+        listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, DEFER_ACCEPT_S if wanted else 0)
         return bool(listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT))
     except OSError:
         return False
 
 
 def shutdown_if_idle(sock: socket.socket) -> bool:
-    """End a connection in both directions unless bytes of it lie unread in the kernel; whether it was ended.
+    """Shut a connection down in both directions unless it has unread input; whether it was shut down.
 
-    Guards against a request that comes after the look and before the close: a transport that is aborted closes its
-    socket a turn of the event loop later, and a close over unread bytes resets the connection.
+    Guards against a request that arrives between this check and the close: an aborted transport closes its socket
+    one iteration of the event loop later, and closing a socket with unread bytes resets the connection.
     """
-    if readable(sock.fileno()):
+    if has_input(sock.fileno()):
         return False
     with suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     return True
 
 
-class Owner(Protocol):
-    """Who has the connections that are accepted."""
+class ConnectionOwner(Protocol):
+    """The owner of the accepted connections."""
 
     def free(self) -> int:
-        """How many more it may have now."""
+        """How many more connections it may hold now."""
 
     def make_room(self, wanted: int) -> bool:
-        """Have some end, as so many wait; whether any is about to."""
+        """Close some connections, as ``wanted`` new ones wait; whether any is about to be closed."""
 
     def connection_accepted(self, sock: socket.socket) -> None:
-        """Have this one."""
+        """Take over an accepted connection."""
 
 
-class Found(Enum):
-    """What a look at the queue ended with."""
+class AcceptResult(Enum):
+    """Why a batch of accepts ended."""
 
-    NOBODY = auto()  # nobody waits any more
-    NO_ROOM = auto()
-    FAILURES = auto()
-    ENOUGH = auto()  # for this turn of the event loop
+    QUEUE_EMPTY = auto()
+    NO_ROOM = auto()  # connections wait, and the owner may hold no more
+    ACCEPT_FAILED = auto()  # too often in this batch
+    BATCH_DONE = auto()  # ``ACCEPT_BATCH`` reached
 
 
 class Acceptor:
-    """Accepts for an owner, in bursts, so that what a connection costs stays small, and never past its room."""
+    """Accepts connections for an owner, in batches to keep the cost of each small, never past its capacity."""
 
-    def __init__(self, listener: socket.socket, owner: Owner, counters: Counters, name: str) -> None:
-        """``name``: what failures are counted under, ``NAME.not_accepted``."""
+    def __init__(self, listener: socket.socket, owner: ConnectionOwner, counters: Counters, name: str) -> None:
+        """``name``: failures are counted as ``NAME.not_accepted``."""
         self.listener = listener
         self.owner = owner
         self.counters = counters
-        self.failed = f"{name}.not_accepted"
-        self._wanted = 1  # connections that are to make room at the next look that finds none
+        self.failure_event = f"{name}.not_accepted"
+        self._wanted = 1  # connections that the next call of ``make_room`` asks for
 
     async def run(self) -> None:
         """Accept for ever."""
         while True:
             await _until_readable(self.listener)
-            await self._pause(self._accept_some())
+            await self._pause(self._accept_batch())
 
-    async def drain_and_close(self, late: Callable[[], bool]) -> int:
-        """Accept all who wait, as room comes, and close; how many were left, as it was ``late`` before the end.
+    async def drain_and_close(self, past_deadline: Callable[[], bool]) -> int:
+        """Accept all waiting connections, as capacity allows, then close the listener.
 
-        What waits at a listener that is closed is reset, though another process listens at the same address; so
-        the last look and the close stand next to each other.
+        Returns how many connections were left in the queue, if ``past_deadline`` came true before it was empty.
+
+        Closing a listener resets the connections in its queue, even if another process listens at the same
+        address; so the last check of the queue and the close stand next to each other.
         """
-        while (found := self._accept_some()) is not Found.NOBODY and not late():
-            await self._pause(found)
-        left = 0 if found is Found.NOBODY else waiting(self.listener)
+        while (result := self._accept_batch()) is not AcceptResult.QUEUE_EMPTY and not past_deadline():
+            await self._pause(result)
+        left = 0 if result is AcceptResult.QUEUE_EMPTY else pending_connections(self.listener)
         self.listener.close()
         return left
 
-    def _accept_some(self) -> Found:
-        """Accept who waits, up to a number.
+    def _accept_batch(self) -> AcceptResult:
+        """Accept waiting connections, up to ``ACCEPT_BATCH``.
 
-        Guards against errors of one connection or one moment, after which others wait still.
+        An error does not end the batch at once: it may concern one connection or one moment while others wait.
         """
         failures = 0
-        for _ in range(ACCEPT_MOST):
+        for _ in range(ACCEPT_BATCH):
             if self.owner.free() <= 0:
-                return Found.NO_ROOM if readable(self.listener.fileno()) else Found.NOBODY
+                return AcceptResult.NO_ROOM if has_input(self.listener.fileno()) else AcceptResult.QUEUE_EMPTY
             try:
                 sock, _ = self.listener.accept()
             except BlockingIOError:
-                return Found.NOBODY
+                return AcceptResult.QUEUE_EMPTY
             except OSError as error:
-                self.counters.log(self.failed, repr(error))
+                self.counters.log(self.failure_event, repr(error))
                 failures += 1
-                if failures >= ACCEPT_FAILURES:
-                    return Found.FAILURES
+                if failures >= ACCEPT_FAILURES_MAX:
+                    return AcceptResult.ACCEPT_FAILED
             else:
                 self.owner.connection_accepted(sock)
-        return Found.ENOUGH
+        return AcceptResult.BATCH_DONE
 
-    async def _pause(self, found: Found) -> None:
-        """Let others work before the next look; make room where that may be what is wanting."""
-        if found is Found.NO_ROOM:
+    async def _pause(self, result: AcceptResult) -> None:
+        """Yield to the event loop before the next batch; make room if capacity or descriptors may be lacking."""
+        if result is AcceptResult.NO_ROOM:
             await self._make_room()
-        elif found is Found.FAILURES:
+        elif result is AcceptResult.ACCEPT_FAILED:
             self.owner.make_room(1)
-            await asyncio.sleep(ACCEPT_AGAIN_S)
+            await asyncio.sleep(ACCEPT_RETRY_S)
         else:
-            self._wanted = 1 if found is Found.NOBODY else self._wanted
+            self._wanted = 1 if result is AcceptResult.QUEUE_EMPTY else self._wanted
             await asyncio.sleep(0.0)
 
     async def _make_room(self) -> None:
-        """Have twice as many make room as at the last look, where somebody waits still.
+        """Make room, for twice as many connections each time until the queue is empty.
 
-        The length of the queue is not asked: not every kernel tells it.
+        The length of the queue is not used, as not every kernel provides it.
         """
         self.owner.make_room(self._wanted)
-        self._wanted = min(2 * self._wanted, WANTED_MOST)
-        await asyncio.sleep(ROOM_AGAIN_S)
+        self._wanted = min(2 * self._wanted, ROOM_WANTED_MAX)
+        await asyncio.sleep(ROOM_RETRY_S)
 
 
-def _be_told(there: asyncio.Future[None]) -> None:
-    if not there.done():
-        there.set_result(None)
+def _set_ready(ready: asyncio.Future[None]) -> None:
+    if not ready.done():
+        ready.set_result(None)
 
 
 async def _until_readable(listener: socket.socket) -> None:
-    """Wait until there is somebody to accept.
+    """Wait until there is a connection to accept.
 
-    Guards against a connection that is lost because accepting is called off just as it was accepted: with
-    ``loop.sock_accept`` its socket would be the result of a call that nobody reads any more.
+    Used instead of ``loop.sock_accept``, which can lose a connection if it is cancelled just after accepting it:
+    the socket would be the result of a call that nothing awaits any more.
     """
     loop = asyncio.get_running_loop()
-    there: asyncio.Future[None] = loop.create_future()
-    loop.add_reader(listener.fileno(), _be_told, there)
+    ready: asyncio.Future[None] = loop.create_future()
+    loop.add_reader(listener.fileno(), _set_ready, ready)
     try:
-        await there
+        await ready
     finally:
         loop.remove_reader(listener.fileno())
