--- a/tests/discovery.py
+++ b/tests/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-ins for discovery's agent, with the faults that it may show, and for workers that note what they get."""
+"""Test doubles: a discovery agent that can show faults, and a worker that records the jobs it receives."""
 
 from __future__ import annotations
 
@@ -19,50 +19,50 @@
 
 WORK_S = 0.05
 
-class Mood(Enum):
-    """How discovery answers a call."""
+class AgentMode(Enum):
+    """How the discovery agent answers a call."""
 
-    WELL = auto()
-    HANG = auto()  # never
-    RESET = auto()  # half of it, then a reset
-    GARBLE = auto()  # with a text that is no list
-    FAIL = auto()  # with 500, 502 or 503
+    NORMAL = auto()
+    HANG = auto()  # never answers
+    RESET = auto()  # sends half of the answer, then resets the connection
+    MALFORMED = auto()  # answers with a body that is not a valid list
+    ERROR = auto()  # answers with status 500, 502 or 503
 
 
-GARBLED = [b'{"version":9,"full":true,"serv', b"\x00\xff\xfe[", b"[]", b"", b'{"version":"x"}',
-           b'{"version":9,"full":true,"servers":[{"id":1}]}', b"[" * 20_000, b"{}", b'{"version":9,"full":true}',
-           b'{"full":true,"servers":[]}']
+MALFORMED_BODIES = [b'{"version":9,"full":true,"serv', b"\x00\xff\xfe[", b"[]", b"", b'{"version":"x"}',
+                    b'{"version":9,"full":true,"servers":[{"id":1}]}', b"[" * 20_000, b"{}",
+                    b'{"version":9,"full":true}', b'{"full":true,"servers":[]}']
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Discovery:
-    """Discovery's agent: the whole list, watches that wait for a newer version, and its faults."""
+    """A discovery agent that serves the full list and watches, and can answer with faults."""
 
     def __init__(self, version: int = 1) -> None:
-        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}  # by id: the version of its last change
+        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}  # by id: version of the last change, entry
         self.version = version
-        self.mood = Mood.WELL
-        self.answered: Counter[Mood] = Counter()
+        self.mode = AgentMode.NORMAL
+        self.answered: Counter[AgentMode] = Counter()
         self.address = ("127.0.0.1", free_port())
-        self.watches = 0  # that wait now
-        self._hushed = 0  # counts the times at which the watches that waited fell silent
+        self.open_watches = 0  # waiting now
+        self._silenced = 0  # how often the open watches were silenced
         self._turn = itertools.count()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def put(self, name: str, port: int, state: str = "active") -> None:
-        """Change one entry of the list."""
+        """Add or replace one entry of the list."""
         self.version += 1
         self.entries[name] = self.version, {
             "id": name, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m", "cell": 0, "state": state,
             "weight": 1.0, "started_ms": 0}
 
-    def hush(self) -> None:
-        """The watches that wait now never hear again; new calls are answered."""
-        self._hushed += 1
+    def silence_watches(self) -> None:
+        """Never answer the watches that are open now; new calls are answered."""
+        self._silenced += 1
 
     async def listen(self) -> None:
-        """Take connections, the first time or again."""
+        """Accept connections, for the first time or again."""
         self._server = await asyncio.start_server(self._serve, *self.address)
 
     async def refuse(self) -> None:
@@ -82,8 +82,8 @@
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         try:
             while True:
-                first, _ = await read_head(reader)
-                writer.write(await self._answer(first))
+                request_line, _ = await read_head(reader)
+                writer.write(await self._answer(request_line))
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
@@ -96,35 +96,35 @@
             self._tasks.discard(task)
             writer.transport.abort()
 
-    async def _answer(self, first: str) -> bytes:
-        query = dict(pair.split("=") for pair in first.split()[1].partition("?")[2].split("&") if pair)
+    async def _answer(self, request_line: str) -> bytes:
+        query = dict(pair.split("=") for pair in request_line.split()[1].partition("?")[2].split("&") if pair)
         index = int(query["index"]) if "index" in query else None
-        if index is not None and self.mood is Mood.WELL:
+        if index is not None and self.mode is AgentMode.NORMAL:
             await self._wait(index, int(query["wait"]) / 1000.0)
-        self.answered[self.mood] += 1
+        self.answered[self.mode] += 1
         turn = next(self._turn)
-        if self.mood is Mood.HANG:
+        if self.mode is AgentMode.HANG:
             await asyncio.Event().wait()
-        if self.mood is Mood.FAIL:
+        if self.mode is AgentMode.ERROR:
             return _http(b"", ("500 Internal Server Error", "502 Bad Gateway", "503 Unavailable")[turn % 3])
-        if self.mood is Mood.GARBLE:
-            return _http(GARBLED[turn % len(GARBLED)])
+        if self.mode is AgentMode.MALFORMED:
+            return _http(MALFORMED_BODIES[turn % len(MALFORMED_BODIES)])
         body = json.dumps({"version": self.version, "full": index is None, "servers": [
-            e for changed, e in self.entries.values() if index is None or changed > index]}).encode()
-        if self.mood is Mood.RESET:
+            entry for changed, entry in self.entries.values() if index is None or changed > index]}).encode()
+        if self.mode is AgentMode.RESET:
             raise _HalfAnswerError(_http(body)[:-len(body) // 2])
         return _http(body)
 
     async def _wait(self, index: int, wait_s: float) -> None:
-        """Until there is something newer, the wait is over, or another mood has come."""
-        until, hushed = time.monotonic() + wait_s, self._hushed
-        self.watches += 1
+        """Wait until the list has a newer version, the wait is over, or the answer mode has changed."""
+        until, silenced = time.monotonic() + wait_s, self._silenced
+        self.open_watches += 1
         try:
-            while self._hushed > hushed or (self.version <= index and time.monotonic() < until
-                                            and self.mood is Mood.WELL):
+            while self._silenced > silenced or (self.version <= index and time.monotonic() < until
+                                            and self.mode is AgentMode.NORMAL):
                 await asyncio.sleep(0.02)
         finally:
-            self.watches -= 1
+            self.open_watches -= 1
 
 
 class _HalfAnswerError(Exception):
@@ -138,10 +138,10 @@
 
 
 class Worker:
-    """A worker that notes when each job's first byte came, and from which scheduler."""
+    """A worker that records when each job's first byte arrived, and from which scheduler."""
 
     def __init__(self) -> None:
-        self.firsts: list[tuple[float, str]] = []  # on the monotonic clock; the name that begins the job's id
+        self.first_bytes: list[tuple[float, str]] = []  # (monotonic time, scheduler's name from the job's id)
         self.port = 0
         self._server: asyncio.Server | None = None
 
@@ -154,8 +154,8 @@
             self._server.close()
 
     def senders(self, since: float, until: float = float("inf")) -> Counter[str]:
-        """How many jobs each scheduler began to send between two moments."""
-        return Counter(name for at, name in self.firsts if since <= at < until)
+        """How many jobs each scheduler began to send between two times."""
+        return Counter(name for at, name in self.first_bytes if since <= at < until)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -166,7 +166,7 @@
                 fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:-2])
                 await reader.readexactly(int(fields.get("content-length", "0")))
                 ident = fields["x-request-id"]
-                self.firsts.append((at, ident.partition("-")[0]))
+                self.first_bytes.append((at, ident.partition("-")[0]))
                 await asyncio.sleep(WORK_S)
                 line = json.dumps({"id": ident, "state": "done", "result": "ok"}) + "\n"
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -30,7 +30,7 @@
 from gaphub.net.http import OUTBOUND_PART, Connection, Inbound, Pool, Pools
 from gaphub.net.ops import Ops
 
-from .discovery import Discovery, Mood
+from .discovery import AgentMode, Discovery
 from .processes import ADMIN, Process, counters, job, running
 from .scenario import SETTINGS, Cast, free_port
 
@@ -104,14 +104,14 @@
     if how == "refuses":
         await discovery.refuse()
     elif how == "is silent":
-        discovery.mood = Mood.HANG
+        discovery.mode = AgentMode.HANG
 
 
 async def back(discovery: Discovery, how: str) -> None:
     """Discovery can be reached again."""
     if how == "refuses":
         await discovery.listen()
-    discovery.mood = Mood.WELL
+    discovery.mode = AgentMode.NORMAL
 
 
 async def fill_the_workers_part(listen: int) -> None:
--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -23,7 +23,7 @@
 from gaphub.lab.world import Workers
 from gaphub.net import destinations
 
-from .discovery import Discovery, Mood, Worker
+from .discovery import AgentMode, Discovery, Worker
 from .processes import Process, counters, job, running
 from .scenario import SETTINGS, free_port
 
@@ -71,17 +71,17 @@
 
 async def given_up(scene: Scene) -> None:
     """Calls hang, and do so for ever after discovery is back."""
-    scene.discovery.mood = Mood.HANG
+    scene.discovery.mode = AgentMode.HANG
     await asyncio.sleep(0.5)
     scene.change()
     await asyncio.sleep(3.0)
-    scene.discovery.mood = Mood.WELL
+    scene.discovery.mode = AgentMode.NORMAL
 
 
 async def spoilt(scene: Scene) -> None:
     """Answers are reset in their middle, garbled, errors; some calls hang; some connections are refused."""
     for turn in range(20):
-        scene.discovery.mood = (Mood.RESET, Mood.GARBLE, Mood.FAIL, Mood.HANG)[turn % 4]
+        scene.discovery.mode = (AgentMode.RESET, AgentMode.MALFORMED, AgentMode.ERROR, AgentMode.HANG)[turn % 4]
         if turn == 6:
             scene.change()
         if turn % 6 == 5:
@@ -89,15 +89,15 @@
         await asyncio.sleep(0.17)
         if turn % 6 == 5:
             await scene.discovery.listen()
-    scene.discovery.mood = Mood.WELL
+    scene.discovery.mode = AgentMode.NORMAL
 
 
 async def silent_watches(scene: Scene) -> None:
     """All open watches fall silent; discovery can be reached all along."""
     async with asyncio.timeout(5.0):
-        while scene.discovery.watches < len(scene.schedulers):
+        while scene.discovery.open_watches < len(scene.schedulers):
             await asyncio.sleep(0.01)
-    scene.discovery.hush()
+    scene.discovery.silence_watches()
     scene.change()
 
 
@@ -106,13 +106,13 @@
     second = Discovery()
     second.put("s-stays", scene.stays.port)
     scene.change(second)
-    second.mood = Mood.GARBLE
+    second.mode = AgentMode.MALFORMED
     await second.listen()
     scene.others.append(second)
     for scheduler in scene.schedulers.values():
         scheduler.reload(discovery="{}:{}".format(*second.address))
     await asyncio.sleep(1.0)
-    second.mood = Mood.WELL
+    second.mode = AgentMode.NORMAL
 
 
 @dataclass
@@ -255,7 +255,7 @@
             await asyncio.sleep(1.0)
             before = served.count(200)
             if silent:
-                discovery.mood = Mood.HANG
+                discovery.mode = AgentMode.HANG
             for p in all_:
                 p.process.send_signal(signal.SIGTERM if how is Restart.TERM else signal.SIGKILL)
             await asyncio.gather(*(asyncio.to_thread(p.process.wait, 10.0) for p in all_))
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from .discovery import Discovery, Mood, Worker
+from .discovery import AgentMode, Discovery, Worker
 from .processes import Process, job, running
 from .scenario import SETTINGS, free_port
 
@@ -51,12 +51,12 @@
                 if how == "refuses":
                     await discovery.refuse()
                 else:
-                    discovery.mood = Mood.FAIL
+                    discovery.mode = AgentMode.ERROR
                 await asyncio.sleep(away_s)
                 discovery.put(f"s-{workers.index(drains)}", drains.port, "leaving")
                 if how == "refuses":
                     await discovery.listen()
-                discovery.mood = Mood.WELL
+                discovery.mode = AgentMode.NORMAL
                 back = time.monotonic()
                 await asyncio.sleep(AFTER_S)
                 assert drains.senders(back - away_s, back), "it was in use before"
