--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -1,7 +1,7 @@
-"""Promises about discovery, with real processes: a change counts as told 6 s after discovery had it and could be
-reached, whatever failed before, and restarted processes are ready within 10 s.
+"""Guarantees about discovery, with real processes: schedulers act on a change 6 s after discovery had it and could
+be reached, whatever failed before, and restarted processes are ready within 10 s.
 
-The scenarios of the first promise take the same time, so they run side by side, once for all of them.
+The scenarios of the first guarantee take equally long, so they run concurrently, once for all tests.
 """
 
 from __future__ import annotations
@@ -27,119 +27,120 @@
 from .processes import Process, counters, job, running
 from .scenario import SETTINGS, free_port
 
-TOLD_S = 6.0  # from when discovery had a change and could be reached; from then on it counts as told
-SOCKETS_S = 0.05  # every limit of time is longer by this on sockets
-WATCHED_S = 1.5  # for so long after that what workers get is looked at
+DELIVERED_S = 6.0  # after discovery had a change and could be reached, the change counts as delivered
+SOCKET_MARGIN_S = 0.05  # added to every time limit, for the sockets
+OBSERVED_S = 1.5  # how long after that the workers' jobs are observed
 JOB_EVERY_S = 0.12
-CLIENTS = 3  # of each scheduler: with a job or two under way at one worker, others are used as well
+CLIENTS = 3  # of each scheduler; enough concurrent jobs that more than one worker is used
 SUBSCRIBE = {**SETTINGS, "registryMode": "subscribe",
              "rules": {**SETTINGS["rules"], "askEvery": 10_000.0}}
 
-# --- a change counts as told 6 s after discovery had it and could be reached ---------------------------
+# --- a change counts as delivered 6 s after discovery had it and could be reached ----------------------
 
-KINDS: dict[str, dict[str, Any]] = {  # of schedulers; one of each in every scenario
+# One scheduler of each kind in every scenario: automatic or subscribe mode, with or without an operators' address.
+SCHEDULER_KINDS: dict[str, dict[str, Any]] = {
     "pushed": {"admin": ""}, "pushedops": {}, "asked": {"admin": "", "settings": SUBSCRIBE},
     "askedops": {"settings": SUBSCRIBE},
 }
 
 
-class Scene:
-    """Schedulers, their discovery, and workers: one stays, one begins to drain, one joins."""
+class Setup:
+    """Schedulers, their discovery agent, and workers: one stays, one begins to drain, one joins."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.discovery = Discovery(version=50)
-        self.others: list[Discovery] = []
-        self.stays, self.drains, self.joins = Worker(), Worker(), Worker()
+        self.other_agents: list[Discovery] = []
+        self.staying, self.draining, self.joining = Worker(), Worker(), Worker()
         self.schedulers: dict[str, Process] = {}
 
     def change(self, discovery: Discovery | None = None) -> None:
-        """The change that schedulers have to hear of."""
+        """Make the change that the schedulers must learn of."""
         discovery = discovery or self.discovery
-        discovery.put("s-drains", self.drains.port, "leaving")
-        discovery.put("s-joins", self.joins.port)
+        discovery.put("s-drains", self.draining.port, "leaving")
+        discovery.put("s-joins", self.joining.port)
 
 
-async def refused(scene: Scene) -> None:
-    """Discovery refuses connections for longer than all back-offs."""
-    await scene.discovery.refuse()
+async def refused(setup: Setup) -> None:
+    """Discovery refuses connections for longer than the maximum back-off."""
+    await setup.discovery.refuse()
     await asyncio.sleep(0.5)
-    scene.change()
+    setup.change()
     await asyncio.sleep(3.0)
-    await scene.discovery.listen()
+    await setup.discovery.listen()
 
 
-async def given_up(scene: Scene) -> None:
-    """Calls hang, and do so for ever after discovery is back."""
-    scene.discovery.mode = AgentMode.HANG
+async def given_up(setup: Setup) -> None:
+    """Calls hang, and go on hanging after discovery answers new ones again."""
+    setup.discovery.mode = AgentMode.HANG
     await asyncio.sleep(0.5)
-    scene.change()
+    setup.change()
     await asyncio.sleep(3.0)
-    scene.discovery.mode = AgentMode.NORMAL
+    setup.discovery.mode = AgentMode.NORMAL
 
 
-async def spoilt(scene: Scene) -> None:
-    """Answers are reset in their middle, garbled, errors; some calls hang; some connections are refused."""
+async def spoilt(setup: Setup) -> None:
+    """Answers are cut off by a reset, malformed, or errors; some calls hang; some connections are refused."""
     for turn in range(20):
-        scene.discovery.mode = (AgentMode.RESET, AgentMode.MALFORMED, AgentMode.ERROR, AgentMode.HANG)[turn % 4]
+        setup.discovery.mode = (AgentMode.RESET, AgentMode.MALFORMED, AgentMode.ERROR, AgentMode.HANG)[turn % 4]
         if turn == 6:
-            scene.change()
+            setup.change()
         if turn % 6 == 5:
-            await scene.discovery.refuse()
+            await setup.discovery.refuse()
         await asyncio.sleep(0.17)
         if turn % 6 == 5:
-            await scene.discovery.listen()
-    scene.discovery.mode = AgentMode.NORMAL
+            await setup.discovery.listen()
+    setup.discovery.mode = AgentMode.NORMAL
 
 
-async def silent_watches(scene: Scene) -> None:
-    """All open watches fall silent; discovery can be reached all along."""
+async def silent_watches(setup: Setup) -> None:
+    """All open watches fall silent, while discovery can be reached."""
     async with asyncio.timeout(5.0):
-        while scene.discovery.open_watches < len(scene.schedulers):
+        while setup.discovery.open_watches < len(setup.schedulers):
             await asyncio.sleep(0.01)
-    scene.discovery.silence_watches()
-    scene.change()
-
-
-async def moved(scene: Scene) -> None:
-    """SIGHUP names another agent, which counts its versions anew and at first garbles its answers."""
-    second = Discovery()
-    second.put("s-stays", scene.stays.port)
-    scene.change(second)
-    second.mode = AgentMode.MALFORMED
-    await second.listen()
-    scene.others.append(second)
-    for scheduler in scene.schedulers.values():
-        scheduler.reload(discovery="{}:{}".format(*second.address))
+    setup.discovery.silence_watches()
+    setup.change()
+
+
+async def moved(setup: Setup) -> None:
+    """SIGHUP names another agent, whose versions start anew and whose first answers are malformed."""
+    new_agent = Discovery()
+    new_agent.put("s-stays", setup.staying.port)
+    setup.change(new_agent)
+    new_agent.mode = AgentMode.MALFORMED
+    await new_agent.listen()
+    setup.other_agents.append(new_agent)
+    for scheduler in setup.schedulers.values():
+        scheduler.reload(discovery="{}:{}".format(*new_agent.address))
     await asyncio.sleep(1.0)
-    second.mode = AgentMode.NORMAL
+    new_agent.mode = AgentMode.NORMAL
 
 
 @dataclass
-class Seen:
-    """What one scenario showed, by scheduler."""
-
-    used_before: Counter[str] = field(default_factory=Counter)  # jobs at the worker that drains, before
-    late: Counter[str] = field(default_factory=Counter)  # jobs that began at it once it counted as told
-    joined: Counter[str] = field(default_factory=Counter)  # jobs at the new worker from then on
-    served: Counter[str] = field(default_factory=Counter)  # jobs answered 200 from then on
-    faults: Counter[str] = field(default_factory=Counter)  # calls that failed or were garbled
+class Observation:
+    """What was observed in one scenario, by scheduler."""
+
+    draining_before: Counter[str] = field(default_factory=Counter)  # jobs at the draining worker before the change
+    late: Counter[str] = field(default_factory=Counter)  # jobs that began there after delivery
+    joined: Counter[str] = field(default_factory=Counter)  # jobs at the new worker after delivery
+    served: Counter[str] = field(default_factory=Counter)  # jobs answered 200 after delivery
+    faults: Counter[str] = field(default_factory=Counter)  # calls that failed or had malformed answers
     alive: dict[str, bool] = field(default_factory=dict)
 
 
-SCENARIOS: dict[str, Callable[[Scene], Awaitable[None]]] = {
+SCENARIOS: dict[str, Callable[[Setup], Awaitable[None]]] = {
     f.__name__: f for f in (refused, given_up, spoilt, silent_watches, moved)}
 
 
-async def observe(folder: Path, scenario: Callable[[Scene], Awaitable[None]]) -> Seen:
-    """Play one scenario and look at what the workers get once the change counts as told."""
+async def observe(folder: Path, scenario: Callable[[Setup], Awaitable[None]]) -> Observation:
+    """Run one scenario and record which jobs the workers receive after the change counts as delivered."""
     folder.mkdir()
-    scene, seen = Scene(folder), Seen()
-    for worker in (scene.stays, scene.drains, scene.joins):
+    setup, seen = Setup(folder), Observation()
+    for worker in (setup.staying, setup.draining, setup.joining):
         await worker.listen()
-    scene.discovery.put("s-stays", scene.stays.port)
-    scene.discovery.put("s-drains", scene.drains.port)
-    await scene.discovery.listen()
+    setup.discovery.put("s-stays", setup.staying.port)
+    setup.discovery.put("s-drains", setup.draining.port)
+    await setup.discovery.listen()
     served: list[tuple[float, str]] = []
 
     async def client(name: str, listen: int, number: int) -> None:
@@ -148,42 +149,42 @@
                 served.append((time.monotonic(), name))
             await asyncio.sleep(JOB_EVERY_S)
 
-    scene.schedulers = {name: Process(folder, free_port(), scene.discovery, name, name=name, **more)
-                        for name, more in KINDS.items()}
+    setup.schedulers = {name: Process(folder, free_port(), setup.discovery, name, name=name, **more)
+                        for name, more in SCHEDULER_KINDS.items()}
     clients: list[asyncio.Task[None]] = []
-    with running(list(scene.schedulers.values())):
-        assert max(await asyncio.gather(*(p.took_to_ready() for p in scene.schedulers.values()))) < float("inf")
-        clients = [asyncio.create_task(client(name, p.listen, number))
-                   for name, p in scene.schedulers.items() for number in range(CLIENTS)]
+    with running(list(setup.schedulers.values())):
+        assert max(await asyncio.gather(*(s.took_to_ready() for s in setup.schedulers.values()))) < float("inf")
+        clients = [asyncio.create_task(client(name, scheduler.listen, number))
+                   for name, scheduler in setup.schedulers.items() for number in range(CLIENTS)]
         async with asyncio.timeout(15.0):
-            while scene.drains.senders(0.0).keys() != scene.schedulers.keys():
+            while setup.draining.senders(0.0).keys() != setup.schedulers.keys():
                 await asyncio.sleep(0.02)
-        seen.used_before = scene.drains.senders(0.0)
-        await scenario(scene)
-        told = time.monotonic() + TOLD_S + SOCKETS_S
-        await asyncio.sleep(TOLD_S + SOCKETS_S + WATCHED_S)
-        seen.late, seen.joined = scene.drains.senders(told), scene.joins.senders(told)
-        seen.served = Counter(name for at, name in served if at >= told)
-        for name, p in scene.schedulers.items():
-            seen.alive[name] = p.process.poll() is None
-            told_counters = json.loads((await counters(p.listen)).partition("\r\n\r\n")[2])
-            seen.faults[name] = sum(told_counters.get(k, 0) for k in ("lists.failed", "garbled.list"))
+        seen.draining_before = setup.draining.senders(0.0)
+        await scenario(setup)
+        delivered_at = time.monotonic() + DELIVERED_S + SOCKET_MARGIN_S
+        await asyncio.sleep(DELIVERED_S + SOCKET_MARGIN_S + OBSERVED_S)
+        seen.late, seen.joined = setup.draining.senders(delivered_at), setup.joining.senders(delivered_at)
+        seen.served = Counter(name for at, name in served if at >= delivered_at)
+        for name, scheduler in setup.schedulers.items():
+            seen.alive[name] = scheduler.process.poll() is None
+            counted = json.loads((await counters(scheduler.listen)).partition("\r\n\r\n")[2])
+            seen.faults[name] = sum(counted.get(k, 0) for k in ("lists.failed", "garbled.list"))
         for task in clients:
             task.cancel()
         await asyncio.wait(clients)
-    for discovery in (scene.discovery, *scene.others):
+    for discovery in (setup.discovery, *setup.other_agents):
         await discovery.refuse()
-    for worker in (scene.stays, scene.drains, scene.joins):
+    for worker in (setup.staying, setup.draining, setup.joining):
         worker.close()
     return seen
 
 
 @pytest.fixture(scope="module")
-def seen_by_scenario(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Seen]:
-    """All scenarios, played side by side."""
+def observations(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Observation]:
+    """All scenarios, run concurrently."""
     folder = tmp_path_factory.mktemp("told")
 
-    async def play() -> dict[str, Seen]:
+    async def play() -> dict[str, Observation]:
         seen = await asyncio.gather(*(observe(folder / name, s) for name, s in SCENARIOS.items()))
         return dict(zip(SCENARIOS, seen, strict=True))
 
@@ -192,42 +193,43 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_change_counts_as_told_6_s_after_discovery_had_it_and_could_be_reached(
-        name: str, seen_by_scenario: dict[str, Seen]) -> None:
-    seen = seen_by_scenario[name]
-    assert seen.used_before.keys() == KINDS.keys()
-    assert seen.faults.keys() == KINDS.keys() and min(seen.faults.values()) > 0, seen.faults
-    assert seen.alive == dict.fromkeys(KINDS, True)
-    assert seen.served.keys() == KINDS.keys()
+        name: str, observations: dict[str, Observation]) -> None:
+    seen = observations[name]
+    assert seen.draining_before.keys() == SCHEDULER_KINDS.keys()
+    assert seen.faults.keys() == SCHEDULER_KINDS.keys() and min(seen.faults.values()) > 0, seen.faults
+    assert seen.alive == dict.fromkeys(SCHEDULER_KINDS, True)
+    assert seen.served.keys() == SCHEDULER_KINDS.keys()
     assert not seen.late
-    assert seen.joined.keys() == KINDS.keys()
+    assert seen.joined.keys() == SCHEDULER_KINDS.keys()
 
 
 def test_the_longest_wait_after_a_failure_and_a_call_that_hangs_then_leave_time_for_one_that_is_answered() -> None:
-    """Back-offs longer than the scenarios' outages would pass them."""
+    """Guards against back-offs longer than the outages in the scenarios, which would pass them."""
     hangs_s = max(destinations.CALL_TIMEOUT_S, destinations.WATCH_MS / 1000.0 + destinations.WATCH_MARGIN_S)
-    assert destinations.RETRY_MAX_S + destinations.UNREQUESTED_AFTER_S + hangs_s < TOLD_S - 1.0
+    assert destinations.RETRY_MAX_S + destinations.UNREQUESTED_AFTER_S + hangs_s < DELIVERED_S - 1.0
 
 
 # --- nine in ten restarted processes are ready within 10 s ----------------------------------------------
 
 SCHEDULERS = 12
-LISTED = 2_000  # workers; two of them take jobs
+LISTED = 2_000  # entries, all with the addresses of two workers
 READY_WITHIN_S = 10.0
-PART_IN_TIME = 0.9
+READY_FRACTION = 0.9
 
 
 class Restart(Enum):
-    """How all schedulers are restarted at once, and what discovery does then."""
+    """How all schedulers are restarted at once, and how discovery behaves then."""
 
     TERM = auto()
-    KILL_LONG = auto()  # with a long list
-    KILL_SILENT = auto()  # discovery is silent; the file has the list, a long one
+    KILL_LONG = auto()  # the list is long
+    KILL_SILENT = auto()  # discovery does not answer; the configuration file has the list, which is long
 
 
 async def restart(how: Restart, folder: Path) -> tuple[list[float], list[int], int]:
-    """Restart all schedulers at once beside load.
+    """Restart all schedulers at once under load.
 
-    How long each took until it was ready, the status of a first job at each, and how many were served before.
+    Returns how long each took to become ready, the status of the first job at each, and how many jobs were served
+    before the restart.
     """
     workers = Workers({"vyuctovani": 10.0})
     await workers.open(2)
@@ -241,41 +243,41 @@
     settings = {**SETTINGS, "familyInfo": {}, "balancers": SCHEDULERS}
     served: list[int] = []
 
-    async def client(p: Process) -> None:
+    async def client(scheduler: Process) -> None:
         for i in itertools.count():
-            served.append(await job(p.listen, f"{p.listen}-{i}"))
+            served.append(await job(scheduler.listen, f"{scheduler.listen}-{i}"))
             await asyncio.sleep(JOB_EVERY_S)
 
-    all_ = [Process(folder, free_port(), discovery, f"n{i}", name=f"n{i}", settings=settings,
-                    known=known if silent else {}) for i in range(SCHEDULERS)]
-    with running(all_):
-        await asyncio.gather(*(p.took_to_ready() for p in all_))
-        clients = [asyncio.create_task(client(p)) for p in all_]
+    schedulers = [Process(folder, free_port(), discovery, f"n{i}", name=f"n{i}", settings=settings,
+                          known=known if silent else {}) for i in range(SCHEDULERS)]
+    with running(schedulers):
+        await asyncio.gather(*(s.took_to_ready() for s in schedulers))
+        clients = [asyncio.create_task(client(scheduler)) for scheduler in schedulers]
         try:
             await asyncio.sleep(1.0)
-            before = served.count(200)
+            served_before = served.count(200)
             if silent:
                 discovery.mode = AgentMode.HANG
-            for p in all_:
-                p.process.send_signal(signal.SIGTERM if how is Restart.TERM else signal.SIGKILL)
-            await asyncio.gather(*(asyncio.to_thread(p.process.wait, 10.0) for p in all_))
-            for p in all_:
-                p.start()
-            took = await asyncio.gather(*(p.took_to_ready() for p in all_))
-            first = await asyncio.gather(*(job(p.listen, f"{p.listen}-first") for p in all_))
+            for scheduler in schedulers:
+                scheduler.process.send_signal(signal.SIGTERM if how is Restart.TERM else signal.SIGKILL)
+            await asyncio.gather(*(asyncio.to_thread(scheduler.process.wait, 10.0) for scheduler in schedulers))
+            for scheduler in schedulers:
+                scheduler.start()
+            took_s = await asyncio.gather(*(s.took_to_ready() for s in schedulers))
+            first_statuses = await asyncio.gather(*(job(s.listen, f"{s.listen}-first") for s in schedulers))
         finally:
             for task in clients:
                 task.cancel()
             await asyncio.wait(clients)
     await discovery.refuse()
     workers.close()
-    return took, first, before
+    return took_s, first_statuses, served_before
 
 
 @pytest.mark.parametrize("how", Restart)
 def test_nine_in_ten_restarted_processes_are_ready_within_10_s(how: Restart, tmp_path: Path) -> None:
-    took, first, before = asyncio.run(restart(how, tmp_path))
-    assert before > SCHEDULERS  # it was beside load
-    assert len(took) == SCHEDULERS
-    assert sum(t <= READY_WITHIN_S for t in took) >= PART_IN_TIME * SCHEDULERS, took
-    assert first.count(200) >= PART_IN_TIME * SCHEDULERS, first
+    took_s, first_statuses, served_before = asyncio.run(restart(how, tmp_path))
+    assert served_before > SCHEDULERS  # the schedulers were under load
+    assert len(took_s) == SCHEDULERS
+    assert sum(t <= READY_WITHIN_S for t in took_s) >= READY_FRACTION * SCHEDULERS, took_s
+    assert first_statuses.count(200) >= READY_FRACTION * SCHEDULERS, first_statuses
