--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -1,6 +1,6 @@
-"""What discovery's agent has counts as told at once where lists are pushed, also when it has just come back.
+"""In automatic mode, what discovery's agent has counts as delivered at once, also when it has just come back.
 
-Nothing new goes to a worker later than the settings' grace after that; here the grace is short.
+Draining workers get no new jobs once the drain grace period of the settings has passed; here that is short.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from .scenario import SETTINGS, free_port
 
 GRACE_MS = 250.0
-SOCKETS_S = 0.05  # every limit of time is longer by this on sockets
+SOCKET_MARGIN_S = 0.05  # added to every time limit, for the sockets
 SCHEDULERS = 4
-AWAY_S = (1.1, 1.7, 2.6)  # for which the agents are gone, one time after another
-JOB_EVERY_S = 0.04  # of each client; this process, which stamps what comes, has to keep up
-AFTER_S = 1.5
+OUTAGES_S = (1.1, 1.7, 2.6)  # durations of the successive outages of the agent
+JOB_EVERY_S = 0.04  # of each client; the test process, which timestamps the jobs, has to keep up
+OBSERVED_S = 1.5
 RULES = {**SETTINGS["rules"], "drainGrace": GRACE_MS}
-ENOUGH = [{"name": "poloha", "slo": 500.0, "deadline": 5000.0, "idempotency": "idempotent"}]
+CLASSES = [{"name": "poloha", "slo": 500.0, "deadline": 5000.0, "idempotency": "idempotent"}]
 
 
 @pytest.mark.parametrize("how", ["refuses", "fails"])
 def test_a_drain_that_the_agent_has_when_it_comes_back_is_kept_within_the_grace(how: str, tmp_path: Path) -> None:
     async def play() -> None:
         discovery = Discovery()
-        workers = [Worker() for _ in range(len(AWAY_S) + 2)]
+        workers = [Worker() for _ in range(len(OUTAGES_S) + 2)]
         for i, worker in enumerate(workers):
             await worker.listen()
             discovery.put(f"s-{i}", worker.port)
         await discovery.listen()
         schedulers = [Process(tmp_path, free_port(), discovery, f"n{n}", admin="",
-                              settings={**SETTINGS, "grades": ENOUGH, "rules": RULES}) for n in range(SCHEDULERS)]
+                              settings={**SETTINGS, "grades": CLASSES, "rules": RULES}) for n in range(SCHEDULERS)]
 
         async def client(number: int, port: int) -> None:
             for i in itertools.count():
@@ -47,21 +47,21 @@
             assert max(await asyncio.gather(*(p.took_to_ready() for p in schedulers))) < 20.0
             clients = [asyncio.create_task(client(n, p.listen))
                        for n, p in enumerate(schedulers) for _ in range(2)]
-            for drains, away_s in zip(workers, AWAY_S, strict=False):
+            for draining, outage_s in zip(workers, OUTAGES_S, strict=False):
                 if how == "refuses":
                     await discovery.refuse()
                 else:
                     discovery.mode = AgentMode.ERROR
-                await asyncio.sleep(away_s)
-                discovery.put(f"s-{workers.index(drains)}", drains.port, "leaving")
+                await asyncio.sleep(outage_s)
+                discovery.put(f"s-{workers.index(draining)}", draining.port, "leaving")
                 if how == "refuses":
                     await discovery.listen()
                 discovery.mode = AgentMode.NORMAL
-                back = time.monotonic()
-                await asyncio.sleep(AFTER_S)
-                assert drains.senders(back - away_s, back), "it was in use before"
-                late = drains.senders(back + GRACE_MS / 1e3 + SOCKETS_S)
-                assert not late, (late, away_s)
+                back_at = time.monotonic()
+                await asyncio.sleep(OBSERVED_S)
+                assert draining.senders(back_at - outage_s, back_at), "the draining worker was not in use before"
+                late = draining.senders(back_at + GRACE_MS / 1e3 + SOCKET_MARGIN_S)
+                assert not late, (late, outage_s)
             for task in clients:
                 task.cancel()
             await asyncio.wait(clients)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists as they must not be, and agents that answer too readily."""
+"""Inconsistent worker lists, and discovery agents that answer watches immediately."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
 from .test_core import Port
 
 
-async def calls(answer: dict[str, Any]) -> tuple[int, float]:
-    """How often a scheduler calls an agent that always answers so at once, and in how many seconds."""
+async def count_calls(answer: dict[str, Any]) -> tuple[int, float]:
+    """How often a scheduler calls an agent that always gives this answer immediately, and in how many seconds."""
     loop = asyncio.get_running_loop()
-    seen = 0
+    calls = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal seen
+        nonlocal calls
         while await reader.readuntil(b"\r\n\r\n"):
-            seen += 1
+            calls += 1
             text = json.dumps(answer).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
 
-    async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_quietly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await serve(reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
-    server = await asyncio.start_server(quiet, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve_quietly, "127.0.0.1", 0)
     began = loop.time()
     async with server, Cast(discovery=f"127.0.0.1:{server.sockets[0].getsockname()[1]}"):
-        while seen < 3 * IMMEDIATE_MAX:
+        while calls < 3 * IMMEDIATE_MAX:
             await asyncio.sleep(0.01)
-        took = loop.time() - began
-    return seen, took
+        took_s = loop.time() - began
+    return calls, took_s
 
 
-# Guards against an agent, or a bug in one, that answers a watch at once for ever: each answer was followed by
-# the next call, and the scheduler did nothing else.
+# Guards against an agent that always answers watches immediately, perhaps by a bug: each answer was followed by
+# the next call at once, and the scheduler did nothing else.
 @pytest.mark.parametrize("full", [False, True])
 def test_an_agent_that_answers_at_once_is_not_called_without_end(full: bool) -> None:
     async def run() -> None:
         async with asyncio.timeout(30.0):
-            seen, took = await calls({"version": 42, "full": full, "servers": []})
+            calls, took_s = await count_calls({"version": 42, "full": full, "servers": []})
         pause = IMMEDIATE_PAUSE_S if full else RETRY_MIN_S
-        assert seen <= 2 * IMMEDIATE_MAX + took / pause
+        assert calls <= 2 * IMMEDIATE_MAX + took_s / pause
 
     asyncio.run(run())
 
@@ -70,19 +70,19 @@
 
 
 @given(st.lists(st.tuples(KINDS, ENTRIES), max_size=8))
-def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(told: list[tuple[int, list[Listed]]]) -> None:
-    """Whatever is named twice, vanishes or comes back: what may be sent to is what the list has said last."""
+def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(lists: list[tuple[int, list[Listed]]]) -> None:
+    """Entries that are repeated, vanish or come back: the usable workers are those last listed as ready."""
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
     core.ports = {"discovery": Port()}
-    for kind, entries in told:
+    for kind, entries in lists:
         core.listed("discovery", kind, entries)
         ready = {n for n, d in core.destinations.by_number.items() if d.listed.state == WorkerState.READY}
         assert set(core.balancer.fleet.ready) == ready
         assert set(core.balancer.fleet.workers) == set(core.destinations.by_number)
-        last = {e.name: e.state for e in entries}
-        names = {d.listed.name for d in core.destinations.by_number.values()}
-        assert {name for name, state in last.items() if state != WorkerState.GONE} <= names
-        assert not {name for name, state in last.items() if state == WorkerState.GONE} & names
+        last_states = {e.name: e.state for e in entries}
+        listed_names = {d.listed.name for d in core.destinations.by_number.values()}
+        assert {name for name, state in last_states.items() if state != WorkerState.GONE} <= listed_names
+        assert not {name for name, state in last_states.items() if state == WorkerState.GONE} & listed_names
 
 
 def test_a_list_of_thousands_is_followed_and_let_go_again() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons on loopback: replication, bounds, and what strangers send."""
+"""Datagrams between schedulers on loopback: replication, bounds, and datagrams from unknown senders."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 """
 
 
-def pair(allowed: bool = True) -> tuple[Cast, Cast]:
+def two_schedulers(messages_allowed: bool = True) -> tuple[Cast, Cast]:
     ports = [free_port(), free_port()]
     casts = []
     for me in (0, 1):
-        limits = {**SETTINGS["limits"], "peerMessages": allowed}
+        limits = {**SETTINGS["limits"], "peerMessages": messages_allowed}
         casts.append(Cast(fronts=FRONTS, peer_listen=f"127.0.0.1:{ports[me]}",
                           peers=[f"127.0.0.1:{p}" for p in ports],
                           settings={"balancers": 2, "me": me, "limits": limits}))
@@ -37,7 +37,7 @@
 
 def test_configuration_written_at_one_daemon_serves_at_the_other() -> None:
     async def run() -> None:
-        a, b = pair()
+        a, b = two_schedulers()
         async with a, b:
             await a.play("a send create function gate poloha\\n\na expect OK")
             for _ in range(200):
@@ -46,12 +46,12 @@
                     break
                 await asyncio.sleep(0.02)
             await b.play("g send 7 gate||load\ng expect #8\nw expect POST .*poloha.*load")
-            # Whatever a stranger or a garbled peer sends is counted and dropped.
+            # Datagrams of unknown senders are counted and dropped, whatever they hold.
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                at = a.config.peer_listen
-                assert at is not None
+                address = a.config.peer_listen
+                assert address is not None
                 for data in (b"gh1\x01", b"x" * (DATAGRAM + 1), b""):
-                    stranger.sendto(data, at)
+                    stranger.sendto(data, address)
             await a.play("count garbled.datagram 3\nc send job poloha r1\nw expect r1")
 
     asyncio.run(run())
@@ -62,13 +62,13 @@
     monkeypatch.setattr(http, "LEAVE_MOST_MS", 3_600_000.0)
 
     async def run() -> None:
-        a, b = pair()
+        a, b = two_schedulers()
         async with a, b:
             while not a.counters.values["peers.received"] or not b.counters.values["peers.received"]:
                 await asyncio.sleep(0.02)
             await a.play("c send job poloha r1\nw expect r1\nw send lines r1 done=x .\nc expect 200")
             await a.play("term\nc expect-close\nended")
-            # The other one has heard that: it is the last, and keeps its clients' connections.
+            # The other scheduler knows of that: it is the last one serving and keeps its clients' connections.
             await b.play("c send job poloha r1\nw expect r1\nw send lines r1 done=x .\nc expect 200\nterm")
             await b.play("wait 900\nc send job poloha r2\nw expect r2\nw send lines r2 done=y .\nc expect y")
 
@@ -77,7 +77,7 @@
 
 def test_nothing_is_sent_where_the_settings_do_not_allow_it() -> None:
     async def run() -> None:
-        a, b = pair(allowed=False)
+        a, b = two_schedulers(messages_allowed=False)
         async with a, b:
             await asyncio.sleep(0.3)
             assert not a.counters.values["peers.sent"] and not b.counters.values["peers.received"]
@@ -85,8 +85,8 @@
     asyncio.run(run())
 
 
-# Guards against the store's rounds where no front keeps anything in it: among forty daemons the digests and
-# counters that nobody reads were most of what was sent.
+# Guards against the store's replication rounds when no front uses the store: with forty schedulers, digests and
+# counters that nobody read made up most of the traffic between them.
 @pytest.mark.parametrize("listen", ["127.0.0.1:PORT", ""])
 def test_the_store_speaks_only_where_a_front_uses_it(listen: str) -> None:
     async def run() -> None:
