--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -186,7 +186,7 @@
             await asyncio.gather(*stopping)
 
     crowded = Site(tmp_path, 0.01, grades=PATIENT)
-    crowded.more = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}, "descriptors": DESCRIPTORS}
+    crowded.options = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}, "descriptors": DESCRIPTORS}
     in_time(crowded.play(course), WITHIN_S)
     print(f"{size} in the crowd: {max(took_s for _, took_s, _ in found):.2f} s at the most")
     assert len(found) == STOPS_EACH * len(STOPS)
@@ -234,7 +234,7 @@
             await asyncio.wait([holding])
 
     crowded = Site(tmp_path, 0.01, grades=PATIENT)
-    crowded.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
+    crowded.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
     in_time(crowded.play(course), WITHIN_S)
     assert all(b" 200 " in each for each in got), got
 
@@ -266,7 +266,7 @@
     for _ in range(PLAYS):
         found.clear()
         crowded = Site(tmp_path, 0.01, grades=PATIENT)
-        crowded.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
+        crowded.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
         in_time(crowded.play(course), WITHIN_S)
         punctual = [each for each in found if each.written_s <= FIRST_REQUEST_S]
         print(f"written after {max(each.written_s for each in found):.2f} s at the most")
@@ -385,7 +385,7 @@
         print(f"{Counter(n.status for n in found)}, {peak} descriptors at the most")
 
     ending = Site(tmp_path, 0.01, grades=SHORT)
-    ending.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}, "descriptors": FEW_DESCRIPTORS}
+    ending.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}, "descriptors": FEW_DESCRIPTORS}
     in_time(ending.play(course), WITHIN_S)
     assert [n for n in found if n.status not in (200, 503)] == []
     assert peak <= FEW_DESCRIPTORS
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -20,7 +20,7 @@
 from .fleet import Attempt, Conversation, Worker, play
 from .processes import Process
 from .scenario import SETTINGS, Cast
-from .test_shutdown_limits import Site, request, until_closed
+from .test_shutdown_limits import Site, read_until_closed, request
 
 SLACK_MS = 150.0
 HELD_S = 0.15  # it is held up for so long between its clock and its write
@@ -88,7 +88,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", one.listen)
         writer.write(request("first", TIMEOUT_MS) + request("second", 200.0))
         one.process.send_signal(signal.SIGTERM)
-        got = await until_closed(reader)
+        got = await read_until_closed(reader)
         assert b" 200 " in got and b" 503 " in got, got
         assert [a.ident for a in site.worker.attempts] == ["first"]
 
--- a/tests/test_shutdown_limits.py
+++ b/tests/test_shutdown_limits.py
@@ -46,7 +46,7 @@
         self.worker = Worker(self._behave)
         self.work_s = work_s
         self.settings = {**SETTINGS, "grades": CLASSES, **settings}
-        self.more: dict[str, Any] = {}  # further keys of the scheduler's file
+        self.options: dict[str, Any] = {}  # further arguments of ``Process``
 
     def _behave(self, attempt: Attempt, conversation: Conversation) -> None:
         asyncio.get_running_loop().call_later(self.work_s, conversation.line, attempt, "done")
@@ -57,7 +57,7 @@
         await self.worker.open()
         discovery.put("w", self.worker.address[1])
         await discovery.listen()
-        one = Process(self.folder, free_port(), discovery, "one", settings=self.settings, admin="", **self.more)
+        one = Process(self.folder, free_port(), discovery, "one", settings=self.settings, admin="", **self.options)
         with running([one]):
             try:
                 assert await one.took_to_ready() < 20.0
@@ -67,7 +67,7 @@
                 await discovery.refuse()
 
 
-async def until_closed(reader: asyncio.StreamReader) -> bytes:
+async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
     """All that comes on a connection until it ends or is reset."""
     got = bytearray()
     with suppress(OSError):
@@ -84,7 +84,7 @@
         await asyncio.sleep(0.3)
         writer.write(b"".join(request(f"r{i}") for i in range(4)))
         async with asyncio.timeout(KILL_S - 0.3):
-            got = await until_closed(reader)
+            got = await read_until_closed(reader)
         assert len(statuses(got)) == 4, got
 
     play(Site(tmp_path, 0.3).play(course), WITHIN_S)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -19,7 +19,7 @@
 
 from .fleet import play
 from .processes import Process
-from .test_shutdown_limits import Site, request, until_closed
+from .test_shutdown_limits import Site, read_until_closed, request
 
 WRITE_S = 2.0  # for which a slow client writes
 PIECES = 11
@@ -128,7 +128,7 @@
         assert all(b" 200 " in each for each in got), got
 
     crowded = site(tmp_path)
-    crowded.more = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}}
+    crowded.options = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}}
     play(crowded.play(course), WITHIN_S)
 
 
@@ -157,7 +157,7 @@
         while not re.search(rb"HTTP/1\.1 [45]", got) and (more := await reader.read(65536)):
             got += more
     took_s = time.monotonic() - began
-    await until_closed(reader)
+    await read_until_closed(reader)
     writer.close()
     return took_s, got.count(b" 200 ")
 
