--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -29,7 +29,7 @@
 import pytest
 
 from gaphub.lab.world import Agent, Workers
-from gaphub.net.arrival import tcp_info
+from gaphub.net.arrival import tcp_info_field
 from gaphub.net.http import ClientSession, Inbound, tunables
 
 from .crowd import HALF_A_HEAD, crowd
@@ -103,7 +103,7 @@
         async with asyncio.timeout(PATIENCE_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             found.connect_s = time.monotonic() - began
-            found.dropped = tcp_info(writer.get_extra_info("socket"), TOTAL_RETRANS) or 0
+            found.dropped = tcp_info_field(writer.get_extra_info("socket"), TOTAL_RETRANS) or 0
             await asyncio.sleep(pause_s)
             writer.write(f"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: {ident}\r\nX-Priority-Class: poloha\r\n"
                          f"X-Timeout: {TIME_MS}m\r\nContent-Length: 0\r\n\r\n".encode())
@@ -186,7 +186,7 @@
             await asyncio.gather(*stopping)
 
     crowded = Site(tmp_path, 0.01, grades=PATIENT)
-    crowded.more = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}, "descriptors": DESCRIPTORS}
+    crowded.options = {"limits": {"memory_mb": 64, "sockets": DESCRIPTORS}, "descriptors": DESCRIPTORS}
     in_time(crowded.play(course), WITHIN_S)
     print(f"{size} in the crowd: {max(took_s for _, took_s, _ in found):.2f} s at the most")
     assert len(found) == STOPS_EACH * len(STOPS)
@@ -234,7 +234,7 @@
             await asyncio.wait([holding])
 
     crowded = Site(tmp_path, 0.01, grades=PATIENT)
-    crowded.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
+    crowded.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
     in_time(crowded.play(course), WITHIN_S)
     assert all(b" 200 " in each for each in got), got
 
@@ -266,7 +266,7 @@
     for _ in range(PLAYS):
         found.clear()
         crowded = Site(tmp_path, 0.01, grades=PATIENT)
-        crowded.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
+        crowded.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}}
         in_time(crowded.play(course), WITHIN_S)
         punctual = [each for each in found if each.written_s <= FIRST_REQUEST_S]
         print(f"written after {max(each.written_s for each in found):.2f} s at the most")
@@ -287,7 +287,7 @@
                 sent_again = []
                 for _ in range(GEARMAN_CLIENTS):  # without a turn of the event loop: nobody accepts
                     client = clients.enter_context(socket.create_connection(gearman, PATIENCE_S))
-                    sent_again.append(tcp_info(client, TOTAL_RETRANS))
+                    sent_again.append(tcp_info_field(client, TOTAL_RETRANS))
         assert set(sent_again) == {0}
 
     asyncio.run(run())
@@ -385,7 +385,7 @@
         print(f"{Counter(n.status for n in found)}, {peak} descriptors at the most")
 
     ending = Site(tmp_path, 0.01, grades=SHORT)
-    ending.more = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}, "descriptors": FEW_DESCRIPTORS}
+    ending.options = {"limits": {"memory_mb": 64, "sockets": FEW_DESCRIPTORS}, "descriptors": FEW_DESCRIPTORS}
     in_time(ending.play(course), WITHIN_S)
     assert [n for n in found if n.status not in (200, 503)] == []
     assert peak <= FEW_DESCRIPTORS
