--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -1,9 +1,10 @@
-"""No attempt begins for a client that has left.
+"""No attempt starts for a client that has left.
 
 An attempt, first or further, whose first byte reaches a worker more than 0.1 s after its client closed is a
-break; two are let pass, as the promise says.  Several schedulers, clients and workers of one process, all on one
-clock.  A close is stamped just after it, and a first byte by the last moment at which it had not come yet (see
-``tests.fleet``), so that a slow test process never makes an attempt look late.
+violation; two are tolerated, as the guarantee says.  Several schedulers serve clients and workers of one test
+process, so all timestamps are of one clock.  A close is timestamped just after it, and a first byte with the last
+time at which it had not arrived yet (see ``tests.fleet``), so a slow test process never makes an attempt look
+late.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 from .fleet import Attempt, Conversation, Discovery, Fleet, Worker, entry, linger_zero, play, stamped
 
 SCHEDULERS = 3
-LATE_S = 0.1  # after its client's close an attempt must not begin
-ALLOWED = 2  # attempts that begin later, and are let pass
-WAYS = ("fin", "reset", "half")
+LATE_START_S = 0.1  # after its client's close no attempt may start
+LATE_ALLOWED = 2  # attempts that may start later
+LEAVE_MODES = ("fin", "reset", "half")
 WITHIN_S = 25.0
 
 
@@ -38,7 +39,7 @@
 
 @dataclass
 class Client:
-    """One connection; the ids that were sent on it, and when it was left."""
+    """One connection, the ids of the requests sent on it, and when the client left."""
 
     sock: socket.socket
     encode: Callable[[str], bytes]
@@ -46,24 +47,24 @@
     left_at: float = 0.0
 
     def send(self, *idents: str) -> None:
-        """Requests, one right behind the other, in one piece."""
+        """Send pipelined requests in one write."""
         self.idents += idents
         self.sock.send(b"".join(map(self.encode, idents)))
 
-    def leave(self, way: str) -> None:
-        """Close, reset, or end the sending."""
-        if way == "half":
+    def leave(self, mode: str) -> None:
+        """Close or reset the connection, or shut down its sending side."""
+        if mode == "half":
             self.sock.shutdown(socket.SHUT_WR)
         else:
-            if way == "reset":
+            if mode == "reset":
                 linger_zero(self.sock)
             self.sock.close()
         self.left_at = time.monotonic()
 
 
 @dataclass
-class Stage:
-    """Schedulers, workers and the clients that were let in."""
+class Site:
+    """Schedulers, workers and connected clients."""
 
     fleet: Fleet
     workers: list[Worker | GearmanWorker]
@@ -71,8 +72,8 @@
     clients: list[Client] = field(default_factory=list)
     serial: int = 0
 
-    async def enter(self, to: Address, encode: Callable[[str], bytes] = request) -> Client:
-        """A new client, connected."""
+    async def connect(self, to: Address, encode: Callable[[str], bytes] = request) -> Client:
+        """Connect a new client."""
         sock = socket.socket()
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, to)
@@ -81,61 +82,61 @@
         return client
 
     def ident(self) -> str:
-        """A new id."""
+        """A new request id."""
         self.serial += 1
         return f"r{self.serial:06d}"
 
     def attempts(self) -> dict[str, list[Attempt]]:
-        """What reached the workers, by id, in order."""
-        found: dict[str, list[Attempt]] = {}
+        """The attempts that reached the workers, by request id, in order of arrival."""
+        by_ident: dict[str, list[Attempt]] = {}
         for attempt in sorted((a for w in self.workers for a in w.attempts), key=lambda a: a.first):
-            found.setdefault(attempt.ident, []).append(attempt)
-        return found
+            by_ident.setdefault(attempt.ident, []).append(attempt)
+        return by_ident
 
-    def late(self) -> list[str]:
-        """The attempts that began too long after their clients had left, each in words."""
+    def late_attempts(self) -> list[str]:
+        """Descriptions of the attempts that started too long after their clients had left."""
         attempts = self.attempts()
         return [f"{ident}: attempt {n} began {(a.first - c.left_at) * 1e3:.0f} ms after the close"
                 for c in self.clients if c.left_at for ident in c.idents
-                for n, a in enumerate(attempts.get(ident, [])) if a.first - c.left_at > LATE_S]
+                for n, a in enumerate(attempts.get(ident, [])) if a.first - c.left_at > LATE_START_S]
 
-    def begun(self, clients: Iterable[Client], number: int) -> int:
-        """How many requests of some clients have had so many attempts."""
+    def count_started(self, clients: Iterable[Client], number: int) -> int:
+        """How many requests of ``clients`` have had at least ``number`` attempts."""
         attempts = self.attempts()
         return sum(len(attempts.get(ident, [])) >= number for c in clients for ident in c.idents)
 
-    async def until(self, enough: int, clients: list[Client], number: int, within_s: float) -> None:
-        """Wait until so many requests of some clients have had so many attempts, or for so long."""
+    async def wait_until_started(self, enough: int, clients: list[Client], number: int, within_s: float) -> None:
+        """Wait until ``enough`` requests of ``clients`` have had ``number`` attempts, at most for ``within_s``."""
         ends = time.monotonic() + within_s
-        while self.begun(clients, number) < enough and time.monotonic() < ends:
+        while self.count_started(clients, number) < enough and time.monotonic() < ends:
             await asyncio.sleep(0.05)
 
 
 @contextlib.asynccontextmanager
-async def stage(workers: list[Worker], limits: dict[str, object], plugged: bool = False,
-                gearman: bool = False) -> AsyncIterator[Stage]:
-    """Schedulers that know the workers."""
+async def open_site(workers: list[Worker], limits: dict[str, object], plugged: bool = False,
+                    gearman: bool = False) -> AsyncIterator[Site]:
+    """Start schedulers that know the workers; everything is closed at the end."""
     discovery = Discovery()
     fleet = Fleet(SCHEDULERS, discovery, {"limits": limits}, gearman=gearman)
-    found = Stage(fleet, [*workers], random.Random(7))
+    site = Site(fleet, [*workers], random.Random(7))
     try:
         for worker in workers:
             await (worker.open_plugged() if plugged else worker.open())
         discovery.entries = [entry(f"w{n}", w) for n, w in enumerate(workers)]
         await discovery.open()
         await fleet.open()
-        yield found
+        yield site
     finally:
         fleet.close()
         discovery.close()
         for worker in workers:
             worker.close()
-        for client in found.clients:
+        for client in site.clients:
             client.sock.close()
 
 
 def serve(attempt: Attempt, conversation: Conversation) -> None:
-    """Answer after a moment's work."""
+    """Answer after 20 ms of work."""
     asyncio.get_running_loop().call_later(0.02, conversation.line, attempt, "done")
 
 
@@ -143,25 +144,25 @@
 def test_who_leaves_while_the_connection_comes_up_is_not_sent_on(cancel: bool) -> None:
     async def work() -> None:
         slow = Worker(serve)
-        async with stage([slow], {"dialTimeout": 2500.0, "cancel": cancel}, plugged=True) as s:
-            leavers: list[Client] = []
-            stayers: list[Client] = []
-            for to in s.fleet.addresses:
+        async with open_site([slow], {"dialTimeout": 2500.0, "cancel": cancel}, plugged=True) as site:
+            leaving: list[Client] = []
+            staying: list[Client] = []
+            for to in site.fleet.addresses:
                 for n in range(24):
-                    client = await s.enter(to)
-                    client.send(s.ident(), *([s.ident()] if n % 2 else []))
-                    (leavers if n < 18 else stayers).append(client)
+                    client = await site.connect(to)
+                    client.send(site.ident(), *([site.ident()] if n % 2 else []))
+                    (leaving if n < 18 else staying).append(client)
             await asyncio.sleep(0.25)
-            for n, client in enumerate(leavers):
-                client.leave(WAYS[n % 3])
-                await asyncio.sleep(0.3 / len(leavers))
-            assert not slow.attempts, "the worker is to be out of reach until now"
-            await asyncio.sleep(LATE_S)
-            await slow.unplug()  # the kernels' next try comes a second after the first
-            await s.until(sum(len(c.idents) for c in stayers), stayers, 1, 4.0)
-            assert s.begun(stayers, 1) >= len(stayers), "who stayed is sent on: the connections came up"
-            late = s.late()
-            assert len(late) <= ALLOWED, (len(late), late)
+            for n, client in enumerate(leaving):
+                client.leave(LEAVE_MODES[n % 3])
+                await asyncio.sleep(0.3 / len(leaving))
+            assert not slow.attempts, "the worker must be unreachable until now"
+            await asyncio.sleep(LATE_START_S)
+            await slow.unplug()  # the kernel retransmits the SYN a second after the first
+            await site.wait_until_started(sum(len(c.idents) for c in staying), staying, 1, 4.0)
+            assert site.count_started(staying, 1) >= len(staying), "too few of the staying were sent on"
+            late = site.late_attempts()
+            assert len(late) <= LATE_ALLOWED, (len(late), late)
 
     play(work(), WITHIN_S)
 
@@ -169,25 +170,25 @@
 FAILURES = ("full", "reset", "lost")
 
 
-class Failing:
-    """The first attempt of a request fails after ``after_s``; later ones are served."""
+class FailsFirstAttempt:
+    """A worker's behaviour: the first attempt of a request fails after ``after_s``; later ones are served."""
 
     def __init__(self) -> None:
         self.after_s = 0.6
-        self.how: dict[str, str] = {}  # by id, of those whose first attempt has yet to come
+        self.failures: dict[str, str] = {}  # by id, of requests whose first attempt has not come yet
 
     def __call__(self, attempt: Attempt, conversation: Conversation) -> None:
-        how = self.how.pop(attempt.ident, "")
-        if not how:
+        failure = self.failures.pop(attempt.ident, "")
+        if not failure:
             serve(attempt, conversation)
             return
-        stamped().call_later(self.after_s, self._fail, how, attempt, conversation)
+        stamped().call_later(self.after_s, self._fail, failure, attempt, conversation)
 
     @staticmethod
-    def _fail(how: str, attempt: Attempt, conversation: Conversation) -> None:
-        if how == "full":
+    def _fail(failure: str, attempt: Attempt, conversation: Conversation) -> None:
+        if failure == "full":
             conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1")
-        elif how == "reset":
+        elif failure == "reset":
             conversation.reset()
         else:
             conversation.line(attempt, "lost")
@@ -196,58 +197,59 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_who_leaves_while_an_attempt_is_out_gets_no_further_one_when_it_fails(cancel: bool) -> None:
     async def work() -> None:
-        failing = Failing()
-        async with stage([Worker(failing) for _ in range(6)], {"cancel": cancel}) as s:
-            leavers: list[Client] = []
-            stayers: list[Client] = []
+        fails_first = FailsFirstAttempt()
+        async with open_site([Worker(fails_first) for _ in range(6)], {"cancel": cancel}) as site:
+            leaving: list[Client] = []
+            staying: list[Client] = []
             for _round in range(2):
-                now: list[Client] = []
-                for to in s.fleet.addresses:
+                leaving_now: list[Client] = []
+                for to in site.fleet.addresses:
                     for n in range(24):
-                        client = await s.enter(to)
-                        ident = s.ident()
-                        failing.how[ident] = FAILURES[n % 3]
-                        client.send(ident, *([s.ident()] if n % 2 else []))
-                        (now if n < 18 else stayers).append(client)
-                s.rng.shuffle(now)
+                        client = await site.connect(to)
+                        ident = site.ident()
+                        fails_first.failures[ident] = FAILURES[n % 3]
+                        client.send(ident, *([site.ident()] if n % 2 else []))
+                        (leaving_now if n < 18 else staying).append(client)
+                site.rng.shuffle(leaving_now)
                 await asyncio.sleep(0.3)
-                half = len(now) // 2
-                for n, client in enumerate(now):  # one half by and by, the other at once, just before the failures
+                half = len(leaving_now) // 2
+                # One half leaves gradually, the other at once, just before the attempts fail.
+                for n, client in enumerate(leaving_now):
                     if n == half:
                         await asyncio.sleep(0.05)
-                    client.leave(WAYS[n % 3])
+                    client.leave(LEAVE_MODES[n % 3])
                     if n < half:
                         await asyncio.sleep(0.05 / half)
-                leavers += now
+                leaving += leaving_now
                 await asyncio.sleep(0.7)
-            await s.until(len(stayers), stayers, 2, 3.0)
-            assert s.begun(leavers, 1) > len(leavers) // 2, "their first attempts were out"
-            assert s.begun(stayers, 2) > len(stayers) // 2, "who stayed gets a further attempt"
-            late = s.late()
-            assert len(late) <= ALLOWED, (len(late), late)
+            await site.wait_until_started(len(staying), staying, 2, 3.0)
+            assert site.count_started(leaving, 1) > len(leaving) // 2, "too few first attempts were under way"
+            assert site.count_started(staying, 2) > len(staying) // 2, "too few further attempts of the staying"
+            late = site.late_attempts()
+            assert len(late) <= LATE_ALLOWED, (len(late), late)
 
     play(work(), WITHIN_S)
 
 
-LEAVE = 200  # clients that leave in each burst
-BUSY_S = 0.25  # a burst that keeps a scheduler at work for so long makes it busy
-BURSTS = (500, 700)  # requests of others at one scheduler at once
+LEAVING_PER_BURST = 200  # clients that leave in each burst
+BUSY_S = 0.25  # a scheduler that needs this long for a burst counts as busy
+BURSTS = (500, 700)  # staying clients that send to one scheduler at once
 
 
-async def crowd(s: Stage, others: list[Client], leavers: list[Client]) -> float:
-    """All send at once, and those who leave do so at once a moment later; for how long the scheduler was busy."""
-    everybody = [*others, *leavers]
-    s.rng.shuffle(everybody)
+async def crowd(site: Site, others: list[Client], leaving: list[Client]) -> float:
+    """All clients send at once, and ``leaving`` leave together a moment later; how long the scheduler was busy."""
+    everybody = [*others, *leaving]
+    site.rng.shuffle(everybody)
     for client in others:
         client.idents.clear()
     began = time.monotonic()
     for n, client in enumerate(everybody):
-        client.send(s.ident(), *([s.ident()] if n % 3 == 0 else []))
+        client.send(site.ident(), *([site.ident()] if n % 3 == 0 else []))
     await asyncio.sleep(0.01)
-    for n, client in enumerate(leavers):
-        client.leave(WAYS[n % 3])
-    await s.until(len(others), others, 1, 2.0)
-    attempts = s.attempts()
+    for n, client in enumerate(leaving):
+        client.leave(LEAVE_MODES[n % 3])
+    await site.wait_until_started(len(others), others, 1, 2.0)
+    attempts = site.attempts()
     for client in others:
         with contextlib.suppress(BlockingIOError):
             client.sock.recv(65536)
@@ -256,24 +258,24 @@
 
 def test_who_leaves_in_a_crowd_while_the_scheduler_is_busy_is_not_sent_on() -> None:
     async def work() -> None:
-        async with stage([Worker(serve) for _ in range(8)], {}) as s:
+        async with open_site([Worker(serve) for _ in range(8)], {}) as site:
             busy_s: list[float] = []
-            for to in s.fleet.addresses:
+            for to in site.fleet.addresses:
                 others: list[Client] = []
                 for burst in BURSTS:
-                    others += [await s.enter(to) for _ in range(burst - len(others))]
-                    leavers = [await s.enter(to) for _ in range(LEAVE)]
+                    others += [await site.connect(to) for _ in range(burst - len(others))]
+                    leaving = [await site.connect(to) for _ in range(LEAVING_PER_BURST)]
                     await asyncio.sleep(0.1)
-                    busy_s.append(await crowd(s, others, leavers))
+                    busy_s.append(await crowd(site, others, leaving))
             assert max(busy_s) > BUSY_S, "no scheduler was busy"
-            late = s.late()
-            assert len(late) <= ALLOWED, (len(late), late)
+            late = site.late_attempts()
+            assert len(late) <= LATE_ALLOWED, (len(late), late)
 
     play(work(), WITHIN_S)
 
 
 class GearmanWorker(asyncio.Protocol):
-    """A worker of the Gearman front, one job at a time; stamps each job as ``Worker`` does."""
+    """A worker at the Gearman front, one job at a time, which timestamps each job as ``Worker`` does."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
@@ -305,33 +307,33 @@
 
 
 def submit(ident: str) -> bytes:
-    """A job whose client waits for its end."""
+    """A foreground job: its client waits for the result."""
     return packet(codec.SUBMIT_JOB, b"work", b"", ident.encode())
 
 
 def test_who_leaves_the_gearman_front_is_not_sent_on() -> None:
     async def work() -> None:
-        async with stage([], {}, gearman=True) as s:
-            for to in s.fleet.gearman_addresses:
+        async with open_site([], {}, gearman=True) as site:
+            for to in site.fleet.gearman_addresses:
                 for _ in range(4):
-                    _, crew = await stamped().create_connection(GearmanWorker, *to)
-                    s.workers.append(crew)
-            leavers: list[Client] = []
-            stayers: list[Client] = []
-            for to in s.fleet.gearman_addresses:
-                here = [await s.enter(to, submit) for _ in range(120)]
-                for n, client in enumerate(here):
-                    client.send(*(s.ident() for _ in range(1 + n % 3)))
-                    (leavers if n % 3 else stayers).append(client)
+                    _, worker = await stamped().create_connection(GearmanWorker, *to)
+                    site.workers.append(worker)
+            leaving: list[Client] = []
+            staying: list[Client] = []
+            for to in site.fleet.gearman_addresses:
+                clients = [await site.connect(to, submit) for _ in range(120)]
+                for n, client in enumerate(clients):
+                    client.send(*(site.ident() for _ in range(1 + n % 3)))
+                    (leaving if n % 3 else staying).append(client)
                 await asyncio.sleep(0.05)
-                for n, client in enumerate(here):
+                for n, client in enumerate(clients):
                     if n % 3:
-                        client.leave(WAYS[n // 3 % 3])
-            await s.until(len(stayers), stayers, 1, 10.0)
-            waited = sum(len(c.idents) for c in leavers) - s.begun(leavers, 1)
-            assert waited > len(leavers), "the jobs of those who left had yet to begin"
-            assert s.begun(stayers, 1) == len(stayers), "who stayed is served"
-            late = s.late()
-            assert len(late) <= ALLOWED, (len(late), late)
+                        client.leave(LEAVE_MODES[n // 3 % 3])
+            await site.wait_until_started(len(staying), staying, 1, 10.0)
+            not_started = sum(len(c.idents) for c in leaving) - site.count_started(leaving, 1)
+            assert not_started > len(leaving), "too few jobs of the leaving were still waiting"
+            assert site.count_started(staying, 1) == len(staying), "a job of the staying was not started"
+            late = site.late_attempts()
+            assert len(late) <= LATE_ALLOWED, (len(late), late)
 
     play(work(), WITHIN_S)
