--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,13 +1,13 @@
-"""A real process under a real limit of descriptors, while more idle clients than that come and stay.
+"""A real process under a real descriptor limit, while more idle clients than the limit connect and stay.
 
-What a descriptor can be: a client's connection (``INBOUND_PART`` of the limit), one to a worker
-(``OUTBOUND_PART``), an operator's (a 32nd of it), discovery's, and about a dozen that every process has.
+A descriptor can be a client's connection (``INBOUND_PART`` of the limit), one to a worker (``OUTBOUND_PART``), one
+of an operator (a 32nd of the limit), the connection to discovery, or one of about a dozen that every process has.
 
-Once in some thirty plays the newcomer's job was refused (503) or had no answer in 5 s. The crowd comes all at
-once and overflowed the accept queue of 512 (the kernel counted 2,500 to 22,500 in a play), so the newcomer's
-SYN was dropped now and then and sent again 1, 2 and 4 s later; what was left of its time was too little, or
-none. The cause and the figures stand in test_crowds.py, which has forty newcomers in a play, and in
-docs/incidents/accept-queue.md.
+Guards against an accept queue that is too short.  The idle clients connect all at once and overflowed a queue of
+512 (2,500 to 22,500 times in a run, by the kernel's count), so a new client's SYN was dropped now and then and
+retransmitted after 1, 2 and 4 s.  Too little of its time was left, or none: in about one run of thirty its job was
+refused (503) or not answered within 5 s.  test_crowds.py has the cause and the figures, and forty new clients in a
+run; see also docs/incidents/accept-queue.md.
 """
 
 from __future__ import annotations
@@ -35,60 +35,60 @@
 from .scenario import SETTINGS, Cast, free_port
 
 LIMIT = 640  # descriptors
-EVERY_PROCESS = 16  # descriptors: the standard ones, the loop's, the listeners, discovery, peers
-CROWD = 1_400  # connections that idle clients keep open, or try to
-OPENINGS = 20_000  # of theirs, at most
-BUSY_CLIENTS = 40  # more, each with one job after another
-WORKERS = 300  # more than a process may have connections to at once
-JOBS_AT_ONCE = 280  # as well
+BASE_DESCRIPTORS = 16  # standard streams, event loop, listeners, discovery, peers
+CROWD = 1_400  # connections that they try to keep open
+CONNECTIONS_MAX = 20_000  # that the idle clients open over the whole run
+BUSY_CLIENTS = 40  # in addition, each with one job after another
+WORKERS = 300  # more than the connections to workers that a process may have
+CONCURRENT_JOBS = 280  # likewise
 WORK_MS = {"poloha": 1_300.0, "vyuctovani": 20.0}
-OPERATORS = 30  # connections to the operators' address on which nothing comes
-CROWD_S = 1.5  # discovery is gone for so long while the crowd is there
-TOLD_S = 6.05
-WITHIN_S = 5.0  # a new client's job, with the crowd there; its time-out
-FIRST_WORDS = [b"", b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", b"POST /api HTTP/1.1\r\nHost: a\r\n"]
+OPERATORS = 30  # idle connections to the operators' address
+OUTAGE_S = 1.5  # of discovery, while the crowd is connected
+DELIVERED_S = 6.05  # a change counts as delivered 6 s after discovery had it and could be reached
+WITHIN_S = 5.0  # a new client's job must be answered within its time-out, in spite of the crowd
+FIRST_BYTES = [b"", b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", b"POST /api HTTP/1.1\r\nHost: a\r\n"]
 
 pytestmark = pytest.mark.usefixtures("own_descriptors")
 
 
 @dataclass
-class Crowd:
-    """Idle clients: each opens a connection, says some first words or none, stays, and comes again when closed."""
+class IdleCrowd:
+    """Idle clients: each connects, sends some bytes or none, stays, and reconnects when disconnected."""
 
     port: int
-    openings: int = 0
-    held: int = 0
-    most_held: int = 0
+    opened: int = 0
+    open_now: int = 0
+    most_open: int = 0
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
-    def come(self) -> None:
-        self.tasks = [asyncio.create_task(self._client(FIRST_WORDS[i % len(FIRST_WORDS)])) for i in range(CROWD)]
+    def start(self) -> None:
+        self.tasks = [asyncio.create_task(self._client(FIRST_BYTES[i % len(FIRST_BYTES)])) for i in range(CROWD)]
 
-    async def go(self) -> None:
+    async def stop(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def _client(self, words: bytes) -> None:
-        while self.openings < OPENINGS:
-            self.openings += 1
+    async def _client(self, first_bytes: bytes) -> None:
+        while self.opened < CONNECTIONS_MAX:
+            self.opened += 1
             with suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                self.held += 1
-                self.most_held = max(self.held, self.most_held)
+                self.open_now += 1
+                self.most_open = max(self.open_now, self.most_open)
                 try:
-                    writer.write(words)
+                    writer.write(first_bytes)
                     while await reader.read(4096):
                         pass
                 finally:
-                    self.held -= 1
+                    self.open_now -= 1
                     writer.transport.abort()
             await asyncio.sleep(0.3)
 
 
 @dataclass
-class Watch:
-    """The most descriptors that a process was seen to hold."""
+class DescriptorMonitor:
+    """Records the peak number of open descriptors of a process."""
 
     process: Process
     peak: int = 0
@@ -99,25 +99,25 @@
             await asyncio.sleep(0.01)
 
 
-async def gone(discovery: Discovery, how: str) -> None:
-    """Discovery is out of reach from now on."""
+async def begin_outage(discovery: Discovery, how: str) -> None:
+    """Make discovery unreachable."""
     if how == "refuses":
         await discovery.refuse()
     elif how == "is silent":
         discovery.mode = AgentMode.HANG
 
 
-async def back(discovery: Discovery, how: str) -> None:
-    """Discovery can be reached again."""
+async def end_outage(discovery: Discovery, how: str) -> None:
+    """Make discovery reachable again."""
     if how == "refuses":
         await discovery.listen()
     discovery.mode = AgentMode.NORMAL
 
 
-async def fill_the_workers_part(listen: int) -> None:
-    """Have so many jobs under way at once that as many connections to workers stay open as may be."""
+async def fill_outbound_connections(listen: int) -> None:
+    """Run enough concurrent jobs that the maximum number of connections to workers stays open."""
     jobs = []
-    for i in range(JOBS_AT_ONCE):
+    for i in range(CONCURRENT_JOBS):
         jobs.append(asyncio.create_task(job(listen, f"fill-{i}", "poloha")))
         await asyncio.sleep(0.004)
     served = (await asyncio.gather(*jobs)).count(200)
@@ -135,9 +135,9 @@
             discovery.put(f"old-{i}", port)
         await discovery.listen()
         listen = free_port()
-        one = Process(tmp_path, listen, discovery, "one", LIMIT, settings={**SETTINGS, "familyInfo": {}},
+        scheduler = Process(tmp_path, listen, discovery, "one", LIMIT, settings={**SETTINGS, "familyInfo": {}},
                       limits={"memory_mb": 64, "sockets": LIMIT})
-        crowd, watch = Crowd(listen), Watch(one)
+        crowd, monitor = IdleCrowd(listen), DescriptorMonitor(scheduler)
         served: Counter[int] = Counter()
 
         async def client(number: int) -> None:
@@ -145,46 +145,46 @@
                 served[await job(listen, f"busy-{number}-{i}")] += 1
 
         tasks: list[asyncio.Task[Any]] = []
-        with running([one]):
+        with running([scheduler]):
             try:
-                await one.ready()
-                tasks = [asyncio.create_task(watch.run())]
-                await fill_the_workers_part(listen)
+                await scheduler.ready()
+                tasks = [asyncio.create_task(monitor.run())]
+                await fill_outbound_connections(listen)
                 tasks += [asyncio.create_task(client(i)) for i in range(BUSY_CLIENTS)]
-                crowd.come()
-                await gone(discovery, how)
-                operators = [await asyncio.open_connection("127.0.0.1", one.admin) for _ in range(OPERATORS)]
-                await asyncio.sleep(CROWD_S)
+                crowd.start()
+                await begin_outage(discovery, how)
+                operators = [await asyncio.open_connection("127.0.0.1", scheduler.admin) for _ in range(OPERATORS)]
+                await asyncio.sleep(OUTAGE_S)
                 for i, (_, port) in enumerate(old.addresses):
                     discovery.put(f"old-{i}", port, "left")
                 for i, (_, port) in enumerate(new.addresses):
                     discovery.put(f"new-{i}", port)
-                await back(discovery, how)
-                async with asyncio.timeout(TOLD_S):
+                await end_outage(discovery, how)
+                async with asyncio.timeout(DELIVERED_S):
                     while not new.ran:
                         await asyncio.sleep(0.02)
                 async with asyncio.timeout(WITHIN_S):
                     assert await job(listen, "newcomer") == 200
-                assert await one.call(ADMIN) == 200
-                assert (await one.stats())["targets"] == len(new.addresses)
+                assert await scheduler.call(ADMIN) == 200
+                assert (await scheduler.stats())["targets"] == len(new.addresses)
                 for _, writer in operators:
                     writer.close()
             finally:
                 for task in tasks:
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
-                await crowd.go()
-            # Else it was no crowd, or no pressure on the descriptors.
-            assert crowd.most_held > LIMIT
-            assert watch.peak > LIMIT * 0.75, watch.peak
+                await crowd.stop()
+            # Otherwise there was no crowd, or no pressure on the descriptors.
+            assert crowd.most_open > LIMIT
+            assert monitor.peak > LIMIT * 0.75, monitor.peak
             assert served[200] > 0
-            assert one.process.poll() is None
+            assert scheduler.process.poll() is None
             counts = json.loads((await counters(listen)).partition("\r\n\r\n")[2])
             faults = {"connections.not_accepted", "ops.not_accepted", "calls.raised", "core_failed"}
             assert not counts.keys() & faults
-            assert "Too many open files" not in one.log.read_text()
-            print(f"discovery {how}: {watch.peak} descriptors at most, {crowd.openings} connections of the crowd, "
-                  f"{crowd.most_held} at once")
+            assert "Too many open files" not in scheduler.log.read_text()
+            print(f"discovery {how}: {monitor.peak} descriptors at most, {crowd.opened} connections of the crowd, "
+                  f"{crowd.most_open} at once")
         await discovery.refuse()
         old.close()
         new.close()
@@ -193,78 +193,78 @@
 
 
 def test_connections_that_a_burst_closes_are_closed_before_others_are_opened() -> None:
-    """All connections are idle, and as many jobs for other workers begin in the same moment."""
-    most = 20
+    """All connections are idle, and as many jobs for other workers begin at once."""
+    connection_limit = 20
 
     async def play() -> list[int]:
         workers = Workers(WORK_MS)
-        await workers.open(2 * most)
+        await workers.open(2 * connection_limit)
         clock, counts = Clock(), Counters()
-        owner = Pools(clock, counts, most, 60_000.0, 5.0)
+        all_pools = Pools(clock, counts, connection_limit, 60_000.0, 5.0)
         connections: list[Connection] = []
-        held: list[int] = []  # descriptors, as each connection begins
+        open_counts: list[int] = []  # open descriptors, when each connection is opened
 
-        class Noted(Pool):
+        class RecordingPool(Pool):
             async def take(self, fresh: bool = False) -> Connection:
                 connections.append(await super().take(fresh))
                 return connections[-1]
 
         async def connect(to: Any, within_s: float, failed_locally: Any) -> Connection:
-            held.append(sum(w.writer.get_extra_info("socket").fileno() >= 0 for w in connections) + 1)
+            open_counts.append(sum(w.writer.get_extra_info("socket").fileno() >= 0 for w in connections) + 1)
             return await original(to, within_s)
 
         original = Connection.connect
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Connection, "connect", connect)
-            pools = [Noted(to, owner) for to in workers.addresses]
-            owner._pools = dict(zip(workers.addresses, pools, strict=True))
-            for pool in pools[:most]:
+            pools = [RecordingPool(to, all_pools) for to in workers.addresses]
+            all_pools._pools = dict(zip(workers.addresses, pools, strict=True))
+            for pool in pools[:connection_limit]:
                 connection = await pool.take()
                 connection.idle_since = clock.now()
                 pool.idle.append(connection)
-                await asyncio.sleep(0.002)  # one was used last
-            await asyncio.gather(*(pool.take() for pool in pools[most:]))
+                await asyncio.sleep(0.002)  # so that their last uses differ
+            await asyncio.gather(*(pool.take() for pool in pools[connection_limit:]))
         for connection in connections:
             connection.close()
         workers.close()
-        return held
+        return open_counts
 
-    held = asyncio.run(play())
-    assert len(held) == 2 * most  # each got one
-    assert max(held) <= most
+    open_counts = asyncio.run(play())
+    assert len(open_counts) == 2 * connection_limit  # every job got a connection
+    assert max(open_counts) <= connection_limit
 
 
 @pytest.mark.parametrize("fronts", ["", '[gearman]\nlisten = "127.0.0.1:PORT"\n'])
 def test_the_parts_of_all_fronts_together_stay_within_the_limit(fronts: str,
                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
-    parts: list[int] = []
+    descriptor_limits: list[int] = []
 
-    def note(kind: type, attribute: str) -> None:
-        begin = kind.__init__  # type: ignore[misc]
+    def record_limit(owner_type: type, limit_name: str) -> None:
+        original_init = owner_type.__init__  # type: ignore[misc]
 
-        def noted(self: Any, *args: Any, **more: Any) -> None:
-            begin(self, *args, **more)
-            parts.append(getattr(self, attribute))
+        def recording_init(self: Any, *args: Any, **kwargs: Any) -> None:
+            original_init(self, *args, **kwargs)
+            descriptor_limits.append(getattr(self, limit_name))
 
-        monkeypatch.setattr(kind, "__init__", noted)
+        monkeypatch.setattr(owner_type, "__init__", recording_init)
 
-    note(Inbound, "room")
-    note(Pools, "sockets")
-    note(Ops, "most")
+    record_limit(Inbound, "room")
+    record_limit(Pools, "sockets")
+    record_limit(Ops, "most")
     if fronts:
-        note(Gearman, "most")
+        record_limit(Gearman, "most")
 
     async def play() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}", fronts=fronts, limits={"sockets": LIMIT}):
             pass
 
     asyncio.run(play())
-    assert len(parts) == (4 if fronts else 3)
-    assert sum(parts) + EVERY_PROCESS <= LIMIT, parts
+    assert len(descriptor_limits) == (4 if fronts else 3)
+    assert sum(descriptor_limits) + BASE_DESCRIPTORS <= LIMIT, descriptor_limits
 
 
 def test_a_want_of_descriptors_for_workers_is_no_fault_of_theirs() -> None:
-    """All connections that may be open are in use: a call and a probe of another worker find no room."""
+    """All connections that may be open are in use: a call and a probe of another worker get none."""
 
     async def play() -> None:
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": 2}}
@@ -274,7 +274,7 @@
             await cast.play("count connections.outbound 3\ncount calls.sent 3")
             await cast.play("c4 send job poloha r4\nc4 expect HTTP/1.1 503\ncount calls.local_failures 1")
             await cast.play("c1 close\ncount calls.cancelled 1")
-            # A worker that was ruled out would not get the next job.
+            # An excluded worker would not get the next job.
             await cast.play("c5 send job vyuctovani r5\ncount connections.outbound 4\ncount calls.sent 5")
             assert "calls.connect_failed" not in cast.counters.snapshot()
 
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -1,6 +1,6 @@
-"""Calls of the system that fail for a moment, in ways that Linux documents, are nobody else's fault.
+"""System calls that fail transiently, in ways that Linux documents, are not blamed on clients, workers or peers.
 
-The failures are put between the program and its sockets or its folder; the sockets are real.
+The errors are injected between the program and its sockets or its state directory; the sockets are real.
 """
 
 from __future__ import annotations
@@ -24,86 +24,86 @@
 from .processes import Process, job, running
 from .scenario import Cast, free_port
 
-ONE = "d expect index=41\n"
-SERVED = ONE + "c send job poloha r1\nw expect r1\nw send lines r1 done=one .\nc expect 200 .*one"
-ACCEPT_FAILS = [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EINTR, errno.EPERM]
-CONNECT_FAILS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS]
-LONG_FAILURE = 60  # failures in a row, ten ms or more apart
-CONNECT_CALLED = 3  # turns of the event loop after which a task that opens a connection has called connect(2)
-SOCKET_FAILS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
+FIRST_CALL = "d expect index=41\n"
+SERVED = FIRST_CALL + "c send job poloha r1\nw expect r1\nw send lines r1 done=one .\nc expect 200 .*one"
+ACCEPT_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EINTR, errno.EPERM]
+CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS]
+LONG_FAILURE_CALLS = 60  # successive failures, at least 10 ms apart
+CONNECT_ITERATIONS = 3  # of the event loop, after which a task that opens a connection has called connect(2)
+SOCKET_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-def failing(number: int) -> OSError:
+def os_error(number: int) -> OSError:
     return OSError(number, os.strerror(number))
 
 
 # --- accepting -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("number", ACCEPT_FAILS)
+@pytest.mark.parametrize("number", ACCEPT_ERRORS)
 def test_who_waits_at_a_listener_that_closes_is_taken_in_though_accepting_fails_for_a_moment(
         number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
     accept, stop_accepting = socket.socket.accept, http.Inbound._stop_accepting
-    fails: list[int] = []
-    late: list[socket.socket] = []
+    pending_errors: list[int] = []
+    late_clients: list[socket.socket] = []
 
     def accept_or_fail(self: socket.socket) -> tuple[socket.socket, Any]:
-        if fails:
-            raise failing(fails.pop())
+        if pending_errors:
+            raise os_error(pending_errors.pop())
         return accept(self)
 
     async def run() -> None:
         async with Cast() as cast:
-            async def stop(self: http.Inbound) -> None:
-                late.append(socket.create_connection(cast.config.listen))
-                late[0].sendall(cast.render("c", "job poloha r1"))
-                fails.extend([number, number])
+            async def inject_then_stop(self: http.Inbound) -> None:
+                late_clients.append(socket.create_connection(cast.config.listen))
+                late_clients[0].sendall(cast.render("c", "job poloha r1"))
+                pending_errors.extend([number, number])
                 await stop_accepting(self)
-                assert not fails
+                assert not pending_errors
 
             monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
-            monkeypatch.setattr(http.Inbound, "_stop_accepting", stop)
-            await cast.play(ONE + "term\nw expect r1\nw send lines r1 done=one .\nended")
-            late[0].settimeout(5.0)
-            assert b"200" in (got := late[0].recv(65536)) and got.endswith(b"one")
-            late[0].close()
+            monkeypatch.setattr(http.Inbound, "_stop_accepting", inject_then_stop)
+            await cast.play(FIRST_CALL + "term\nw expect r1\nw send lines r1 done=one .\nended")
+            late_clients[0].settimeout(5.0)
+            assert b"200" in (answer := late_clients[0].recv(65536)) and answer.endswith(b"one")
+            late_clients[0].close()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("number", ACCEPT_FAILS)
+@pytest.mark.parametrize("number", ACCEPT_ERRORS)
 def test_accepting_that_fails_for_a_moment_goes_on(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    accept, left = socket.socket.accept, [number]
+    accept, pending = socket.socket.accept, [number]
 
     def accept_or_fail(self: socket.socket) -> tuple[socket.socket, Any]:
-        if left:
-            raise failing(left.pop())
+        if pending:
+            raise os_error(pending.pop())
         return accept(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
     play_served()
 
 
-# Between a listener's last look and its close the kernel goes on taking connections in, and resets them then.
+# Between a listener's last accept and its close, the kernel completes further connections; the close resets them.
 def test_who_connects_between_the_last_look_and_the_close_comes_to_the_successor(
         monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    close, make = socket.socket.close, http.Inbound.__init__
+    close, original_init = socket.socket.close, http.Inbound.__init__
     inbounds: list[http.Inbound] = []
-    come: list[socket.socket] = []
+    connected: list[socket.socket] = []
 
-    def noted(self: http.Inbound, *args: Any, **more: Any) -> None:
-        make(self, *args, **more)
+    def record_inbound(self: http.Inbound, *args: Any, **kwargs: Any) -> None:
+        original_init(self, *args, **kwargs)
         inbounds.append(self)
 
-    def come_then_close(self: socket.socket) -> None:
-        if inbounds and self is inbounds[0]._listener and not come:
-            come.extend(socket.create_connection(self.getsockname(), timeout=2.0) for _ in range(32))
+    def connect_then_close(self: socket.socket) -> None:
+        if inbounds and self is inbounds[0]._listener and not connected:
+            connected.extend(socket.create_connection(self.getsockname(), timeout=2.0) for _ in range(32))
         close(self)
 
-    monkeypatch.setattr(http.Inbound, "__init__", noted)
-    monkeypatch.setattr(socket.socket, "close", come_then_close)
+    monkeypatch.setattr(http.Inbound, "__init__", record_inbound)
+    monkeypatch.setattr(socket.socket, "close", connect_then_close)
 
     async def run() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
@@ -114,10 +114,10 @@
                 successor.listen(64)
                 successor.setblocking(False)
                 await inbounds[0].leave(lambda: True, successor=True)
-                assert len(come) == 32
-                for _ in come:
+                assert len(connected) == 32
+                for _ in connected:
                     successor.accept()[0].close()
-            for sock in come:
+            for sock in connected:
                 sock.close()
 
     asyncio.run(run())
@@ -127,7 +127,7 @@
 
 
 def play_served(**counted: int) -> None:
-    """One job is served at the first attempt; and what counters say then."""
+    """One job is served at the first attempt, and the counters have the given values then."""
 
     async def run() -> None:
         async with Cast() as cast:
@@ -139,36 +139,36 @@
 
 
 @pytest.fixture
-def fails(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[tuple[str, int]]]:
-    """What is to fail next, of outbound sockets: ``socket`` or ``connect``, and the number of the error."""
-    left: list[tuple[str, int]] = []
-    real = socket.socket
+def pending_errors(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[tuple[str, int]]]:
+    """Errors to inject into outbound sockets, in order: the call, ``socket`` or ``connect``, and the errno."""
+    pending: list[tuple[str, int]] = []
+    real_socket = socket.socket
 
-    class Failing(real):  # type: ignore[misc, valid-type]
-        def __init__(self, *args: Any, **more: Any) -> None:
-            if left and left[0][0] == "socket" and "fileno" not in more:
-                raise failing(left.pop(0)[1])
-            super().__init__(*args, **more)
+    class Failing(real_socket):  # type: ignore[misc, valid-type]
+        def __init__(self, *args: Any, **kwargs: Any) -> None:
+            if pending and pending[0][0] == "socket" and "fileno" not in kwargs:
+                raise os_error(pending.pop(0)[1])
+            super().__init__(*args, **kwargs)
 
         def connect(self, to: Any) -> None:
-            if left and left[0][0] == "connect":
-                raise failing(left.pop(0)[1])
+            if pending and pending[0][0] == "connect":
+                raise os_error(pending.pop(0)[1])
             super().connect(to)
 
     monkeypatch.setattr(socket, "socket", Failing)
-    yield left
+    yield pending
 
 
-@pytest.mark.parametrize(("call", "number"), [("connect", n) for n in CONNECT_FAILS]
-                         + [("socket", n) for n in SOCKET_FAILS])
+@pytest.mark.parametrize(("call", "number"), [("connect", n) for n in CONNECT_ERRORS]
+                         + [("socket", n) for n in SOCKET_ERRORS])
 def test_a_connection_that_this_machine_cannot_make_for_a_moment_costs_no_attempt_and_no_trust(
-        call: str, number: int, fails: list[tuple[str, int]]) -> None:
+        call: str, number: int, pending_errors: list[tuple[str, int]]) -> None:
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send")
-            fails.extend([(call, number)] * 3)
-            await cast.play(SERVED.removeprefix(ONE))
-            assert not fails
+            await cast.play(FIRST_CALL + "c send")
+            pending_errors.extend([(call, number)] * 3)
+            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            assert not pending_errors
             assert cast.counters.values["calls.sent"] == 1, cast.counters.snapshot()
 
     asyncio.run(run())
@@ -176,30 +176,30 @@
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENFILE])
 def test_a_local_failure_that_outlasts_the_time_for_connecting_is_no_fault_of_the_worker(
-        number: int, fails: list[tuple[str, int]]) -> None:
-    """It goes on for more than the 150 ms of the settings."""
+        number: int, pending_errors: list[tuple[str, int]]) -> None:
+    """The failure lasts longer than the connect time-out of the settings, 150 ms."""
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send")
-            fails.extend([("connect", number)] * LONG_FAILURE)
-            await cast.play(SERVED.removeprefix(ONE))
-            assert not fails
+            await cast.play(FIRST_CALL + "c send")
+            pending_errors.extend([("connect", number)] * LONG_FAILURE_CALLS)
+            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            assert not pending_errors
             assert cast.counters.values["calls.sent"] == cast.counters.values["calls.ok"] == 1
 
     asyncio.run(run())
 
 
 def test_a_local_failure_that_does_not_end_gets_a_refusal_and_is_no_fault_of_the_worker(
-        fails: list[tuple[str, int]], monkeypatch: pytest.MonkeyPatch) -> None:
+        pending_errors: list[tuple[str, int]], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tunables, "LOCAL_MOST_S", 0.2, raising=False)
 
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send")
-            fails.extend([("connect", errno.ENOBUFS)] * 100_000)
+            await cast.play(FIRST_CALL + "c send")
+            pending_errors.extend([("connect", errno.ENOBUFS)] * 100_000)
             await cast.play("c send job vyuctovani r1\nc expect HTTP/1.1 503\ncount calls.local_failures 1")
-            fails.clear()
-            # A worker that was ruled out would not get the next job.
+            pending_errors.clear()
+            # An excluded worker would not get the next job.
             await cast.play("c send job vyuctovani r2\nw expect r2")
             await cast.play("w send lines r2 done=two .\nc expect 200 .*two")
             assert cast.counters.values["calls.connect_failed"] == 0
@@ -209,18 +209,21 @@
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENOBUFS])
 def test_a_probe_that_this_machine_cannot_make_in_time_says_nothing_of_the_worker(
-        number: int, fails: list[tuple[str, int]], cores: list[Core]) -> None:
-    """The failures outlast the 0.2 s of a probe: it counted as unanswered, and its worker as silent."""
+        number: int, pending_errors: list[tuple[str, int]], cores: list[Core]) -> None:
+    """The failures last longer than the 0.2 s of a probe.
+
+    Guards against a probe that counted as unanswered then, and its worker as not responding.
+    """
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE)
-            fails.extend([("connect", number)] * LONG_FAILURE)
+            await cast.play(FIRST_CALL)
+            pending_errors.extend([("connect", number)] * LONG_FAILURE_CALLS)
             cores[0].probe(next(iter(cores[0].destinations.by_number)))
             await cast.play("count probes.moot 1")
-            fails.clear()
+            pending_errors.clear()
             assert cast.counters.values["probes.timeout"] == 0
-            # A worker that was ruled out would not get the next job.
-            await cast.play(SERVED.removeprefix(ONE))
+            # An excluded worker would not get the next job.
+            await cast.play(SERVED.removeprefix(FIRST_CALL))
 
     asyncio.run(run())
 
@@ -228,24 +231,24 @@
 @pytest.mark.parametrize("held_up_s", [0.16, 0.4])
 def test_a_connection_that_came_up_while_this_process_was_held_up_costs_no_attempt_and_no_trust(
         held_up_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time for connecting passes between connect(2) and the next look at the socket."""
+    """The connect time-out expires between connect(2) and the next poll of the socket."""
     opened: list[Any] = []
 
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send")
+            await cast.play(FIRST_CALL + "c send")
             open_connection = asyncio.open_connection
 
-            async def held_up(*to: Any, **more: Any) -> Any:
+            async def held_up(*to: Any, **kwargs: Any) -> Any:
                 opened.append(to)
-                opening = asyncio.ensure_future(open_connection(*to, **more))
-                for _ in range(CONNECT_CALLED):
+                opening = asyncio.ensure_future(open_connection(*to, **kwargs))
+                for _ in range(CONNECT_ITERATIONS):
                     await asyncio.sleep(0)
                 time.sleep(held_up_s)
                 return await opening
 
             monkeypatch.setattr(asyncio, "open_connection", held_up)
-            await cast.play(SERVED.removeprefix(ONE))
+            await cast.play(SERVED.removeprefix(FIRST_CALL))
             monkeypatch.setattr(asyncio, "open_connection", open_connection)
             assert len(opened) == 1
             assert cast.counters.values["calls.sent"] == cast.counters.values["calls.ok"] == 1
@@ -253,7 +256,7 @@
     asyncio.run(run())
 
 
-# --- the folder in which processes leave each other what they took on ----------------------------------
+# --- the directory in which a process leaves its state for its successor -------------------------------
 
 
 def test_a_worker_put_out_while_the_folder_fails_stays_out_for_the_successor(tmp_path: Path) -> None:
@@ -262,21 +265,21 @@
         await workers.open(2)
         agent = Agent(workers.addresses)
         await agent.open()
-        listen, folder, away = free_port(), tmp_path / "lasting", tmp_path / "away"
+        listen, folder, moved_away = free_port(), tmp_path / "lasting", tmp_path / "away"
         folder.mkdir()
         old = Process(folder, listen, agent, "old")
-        both = [old]
-        with running(both):
+        processes = [old]
+        with running(processes):
             try:
                 await old.ready()
-                folder.rename(away)  # every write there fails from now on
+                folder.rename(moved_away)  # from now on every write to it fails
                 assert await old.call("PUT /ops/workers/down", "s-0") == 200
                 await asyncio.sleep(0.5)
-                away.rename(folder)
+                moved_away.rename(folder)
                 async with asyncio.timeout(5.0):
                     while not (folder / "gaphub-n0.out").exists():
                         await asyncio.sleep(0.02)
-                both.append(new := Process(folder, listen, agent, "new"))
+                processes.append(new := Process(folder, listen, agent, "new"))
                 await new.ready()
                 old.end()
                 assert [await job(listen, f"r{i}") for i in range(20)] == [200] * 20
@@ -290,38 +293,38 @@
 
 # --- reading and writing -------------------------------------------------------------------------------
 
-BREAKS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE, errno.ENETDOWN]
+READ_ERRORS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE, errno.ENETDOWN]
 
 
 @pytest.fixture
-def breaks(monkeypatch: pytest.MonkeyPatch) -> list[tuple[int, int]]:
-    """The port of the other side, and the error that the next read from there shows."""
+def pending_read_errors(monkeypatch: pytest.MonkeyPatch) -> list[tuple[int, int]]:
+    """Errors to inject into reads: the remote port, and the errno of the next read from there."""
     recv = socket.socket.recv
-    left: list[tuple[int, int]] = []
+    pending: list[tuple[int, int]] = []
 
-    def read_or_break(self: socket.socket, size: int) -> bytes:
-        if left and self.getpeername()[1] == left[0][0]:
-            raise failing(left.pop()[1])
+    def read_or_fail(self: socket.socket, size: int) -> bytes:
+        if pending and self.getpeername()[1] == pending[0][0]:
+            raise os_error(pending.pop()[1])
         return recv(self, size)
 
-    monkeypatch.setattr(socket.socket, "recv", read_or_break)
-    return left
+    monkeypatch.setattr(socket.socket, "recv", read_or_fail)
+    return pending
 
 
-@pytest.mark.parametrize("number", BREAKS)
+@pytest.mark.parametrize("number", READ_ERRORS)
 def test_a_worker_s_connection_that_breaks_in_any_way_is_a_break(
-        number: int, breaks: list[tuple[int, int]]) -> None:
+        number: int, pending_read_errors: list[tuple[int, int]]) -> None:
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send job vyuctovani r1 ab\nw expect r1.*ab")
-            breaks.append((cast.ports["w"], number))
+            await cast.play(FIRST_CALL + "c send job vyuctovani r1 ab\nw expect r1.*ab")
+            pending_read_errors.append((cast.ports["w"], number))
             await cast.play("""
                 w send lines r1 done=one .
                 c expect HTTP/1.1 502
                 count calls.reset 1
                 count calls.sent 1
             """)
-            assert not breaks
+            assert not pending_read_errors
             await cast.play("""
                 c send job poloha r2
                 w next
@@ -333,13 +336,13 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("number", BREAKS)
+@pytest.mark.parametrize("number", READ_ERRORS)
 def test_an_agent_s_connection_that_breaks_in_any_way_is_opened_anew(
-        number: int, breaks: list[tuple[int, int]]) -> None:
+        number: int, pending_read_errors: list[tuple[int, int]]) -> None:
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE)
-            breaks.append((cast.ports["d"], number))
+            await cast.play(FIRST_CALL)
+            pending_read_errors.append((cast.ports["d"], number))
             await cast.play("""
                 d send list 42 changes w=leaving x=active
                 d next
@@ -358,5 +361,5 @@
 def test_writes_and_reads_that_are_short_lose_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     recv, send = socket.socket.recv, socket.socket.send
     monkeypatch.setattr(socket.socket, "recv", lambda self, size: recv(self, min(size, 7)))
-    monkeypatch.setattr(socket.socket, "send", lambda self, data, *more: send(self, data[:5], *more))
+    monkeypatch.setattr(socket.socket, "send", lambda self, data, *flags: send(self, data[:5], *flags))
     play_served()
