--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -13,7 +13,7 @@
 from ..core import Core
 from ..metrics import Counters
 from ..occupancy.choice import is_read
-from ..store import DATAGRAM, MAGIC, GarbledDatagramError, Store
+from ..store import MAGIC, MAX_DATAGRAM_BYTES, MalformedDatagramError, Store
 from ..tasks import Tasks
 
 MAILBOX_CAPACITY = 64  # datagrams per peer; more are dropped, as the network may drop any
@@ -62,21 +62,21 @@
             now = owner.core.clock.now()
             try:
                 if data is None:
-                    datagrams = [*store.news(self.number, UPDATES_PER_ROUND), store.digest()]
+                    datagrams = [*store.pending_updates(self.number, UPDATES_PER_ROUND), store.digest()]
                 elif data[:1] == bytes([HEARTBEAT_TYPE]):
                     if len(data) != 2 or data[1] > 1:
-                        raise GarbledDatagramError("malformed heartbeat")
+                        raise MalformedDatagramError("malformed heartbeat")
                     datagrams = []
                     self.serving_until = now + HEARTBEAT_TTL_MS * owner.heartbeat_stretch * data[1]
                 elif data.startswith(MAGIC):
                     datagrams = store.receive(self.number, data, now) if owner.replicates else []
                 elif not is_read(data):
-                    raise GarbledDatagramError("unknown datagram format")
+                    raise MalformedDatagramError("unknown datagram format")
                 else:
                     datagrams = []
                     await owner.core.post(
                         lambda data=data: owner.core.peer_said(self.number, data))  # type: ignore[misc]
-            except GarbledDatagramError as error:
+            except MalformedDatagramError as error:
                 owner.counters.log("garbled.datagram", str(error))
                 continue
             for datagram in datagrams:
@@ -113,7 +113,7 @@
         self._socket, _ = await loop.create_datagram_endpoint(lambda: _Socket(self), local_addr=self.listen,
                                                                reuse_port=self.reuse_port or None)
         for peer in self.peers.values():
-            self.store.follow(peer.number)
+            self.store.add_peer(peer.number)
             self._tasks.start(peer.run())
         if self.replicates:
             self._tasks.start(self._replication_loop())
@@ -175,7 +175,7 @@
 
     def send(self, address: Address, data: bytes) -> None:
         """Send one datagram, unless it is longer than peers accept."""
-        if self._socket is None or len(data) > DATAGRAM:
+        if self._socket is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.not_sent")
             return
         self._socket.sendto(data, address)
@@ -185,7 +185,7 @@
     def datagram_received(self, data: bytes, sender: Address) -> None:
         """Handle a received datagram; it is dropped if its sender is not a peer."""
         peer = self.peers.get(sender)
-        if peer is None or len(data) > DATAGRAM:
+        if peer is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.log("garbled.datagram", f"{len(data)} bytes from {sender[0]}:{sender[1]}")
             return
         self.counters.add("peers.received")
--- a/gaphub/store.py
+++ b/gaphub/store.py
@@ -15,12 +15,12 @@
 from typing import NamedTuple
 
 MAGIC = b"gh1"
-DATAGRAM = 256  # bytes; a longer one is never made and never read
+MAX_DATAGRAM_BYTES = 256  # bytes; a longer one is never made and never read
 KEY_MOST = 96  # bytes
 VALUE_MOST = 100  # bytes
 BUCKETS = 30  # of a digest; eight bytes each
 FRESH_MOST = 256  # entries waiting to be told to a peer at once; past it the digest finds them
-FUTURE_MS = 600_000.0  # a version further ahead is garbled, or would win for ever
+MAX_FUTURE_MS = 600_000.0  # a version further ahead is garbled, or would win for ever
 BURST = 8  # datagrams in answer to one digest
 TOMBSTONE_MS = 3_600_000.0
 
@@ -43,16 +43,16 @@
         return self.stamp, self.node, self.gone, self.value
 
 
-class GarbledDatagramError(ValueError):
+class MalformedDatagramError(ValueError):
     """A datagram that is none of the store's."""
 
 
 class Store:
     """The entries of one daemon.  Every time is handed in, in Unix milliseconds."""
 
-    def __init__(self, node: int, most: int = 20_000) -> None:
+    def __init__(self, node: int, max_entries: int = 20_000) -> None:
         self.node = node
-        self.most = most
+        self.max_entries = max_entries
         self._entries: dict[str, Entry] = {}
         self._sums = [0] * BUCKETS
         self._stamp = 0
@@ -98,7 +98,7 @@
         known = self._entries.get(key)
         if known is not None and known.version >= entry.version:
             return False
-        if known is None and len(self._entries) >= self.most and not self._make_room(entry, now):
+        if known is None and len(self._entries) >= self.max_entries and not self._make_room(entry, now):
             return False
         self._drop(key)
         self._entries[key] = entry
@@ -123,7 +123,7 @@
         By a heap: a scan for each write made 100,000 claims cost the square of the store's size.
         """
         self.expire(now)
-        if len(self._entries) < self.most:
+        if len(self._entries) < self.max_entries:
             return True
         while self._by_expiry:
             expires, stamp, key = self._by_expiry[0]
@@ -147,17 +147,17 @@
             expires, stamp, key = heappop(self._by_expiry)
             if not self._is_stale(expires, stamp, key):
                 self._drop(key)
-        if len(self._by_expiry) > 2 * self.most + 64:  # entries written again and again leave stale ones
+        if len(self._by_expiry) > 2 * self.max_entries + 64:  # entries written again and again leave stale ones
             self._by_expiry = [x for x in self._by_expiry if not self._is_stale(*x)]
             heapify(self._by_expiry)
 
     # -- replication --
 
-    def follow(self, peer: int) -> None:
+    def add_peer(self, peer: int) -> None:
         """A peer that is to be told what changes."""
         self._fresh.setdefault(peer, OrderedDict())
 
-    def news(self, peer: int, most: int) -> list[bytes]:
+    def pending_updates(self, peer: int, most: int) -> list[bytes]:
         """Datagrams with what changed since a peer was last told; lost ones are found by digests."""
         fresh = self._fresh.get(peer)
         if not fresh:
@@ -173,8 +173,8 @@
 
     def receive(self, peer: int, data: bytes, now: float) -> list[bytes]:
         """Merge a datagram; the datagrams to answer with.  GarbledDatagramError changes nothing."""
-        if len(data) > DATAGRAM or len(data) < 4 or not data.startswith(MAGIC):
-            raise GarbledDatagramError("not a datagram of the store")
+        if len(data) > MAX_DATAGRAM_BYTES or len(data) < 4 or not data.startswith(MAGIC):
+            raise MalformedDatagramError("not a datagram of the store")
         kind, body = data[3], data[4:]
         if kind == _ENTRIES:
             for key, entry in _unpack(body, now):
@@ -183,7 +183,7 @@
                     self._accept(key, entry, now)
             return []
         if kind not in (_DIGEST, _REPLY) or len(body) != BUCKETS * 8:
-            raise GarbledDatagramError("unknown kind or length")
+            raise MalformedDatagramError("unknown kind or length")
         theirs = struct.unpack(f">{BUCKETS}Q", body)
         differ = {i for i in range(BUCKETS) if theirs[i] != self._sums[i]}
         if not differ:
@@ -207,7 +207,7 @@
                     if len(out) >= most:
                         break
                     out.append(MAGIC + bytes([_ENTRIES]))
-                    room = DATAGRAM - 4
+                    room = MAX_DATAGRAM_BYTES - 4
                 out[-1] += record
                 room -= len(record)
             taken.append(key)
@@ -244,11 +244,11 @@
             name, value = body[at:at + key_size], body[at + key_size:at + key_size + value_size]
             key = name.decode()
         except (struct.error, UnicodeDecodeError) as error:
-            raise GarbledDatagramError(str(error)) from None
+            raise MalformedDatagramError(str(error)) from None
         at += key_size + value_size
         if at > len(body) or not 0 < key_size <= KEY_MOST or value_size > VALUE_MOST or gone > 1:
-            raise GarbledDatagramError("entry out of range")
-        if stamp > now + FUTURE_MS:
-            raise GarbledDatagramError("version from the future")
+            raise MalformedDatagramError("entry out of range")
+        if stamp > now + MAX_FUTURE_MS:
+            raise MalformedDatagramError("version from the future")
         found.append((key, Entry(stamp, node, expires, bool(gone), value)))
     return found
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 
 from gaphub.net import http
 from gaphub.net.peers import HEARTBEAT_TYPE
-from gaphub.store import DATAGRAM, MAGIC
+from gaphub.store import MAGIC, MAX_DATAGRAM_BYTES
 
 from .scenario import SETTINGS, Cast, free_port
 
@@ -50,7 +50,7 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 address = a.config.peer_listen
                 assert address is not None
-                for data in (b"gh1\x01", b"x" * (DATAGRAM + 1), b""):
+                for data in (b"gh1\x01", b"x" * (MAX_DATAGRAM_BYTES + 1), b""):
                     stranger.sendto(data, address)
             await a.play("count garbled.datagram 3\nc send job poloha r1\nw expect r1")
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gaphub.store import DATAGRAM, FUTURE_MS, MAGIC, GarbledDatagramError, Store
+from gaphub.store import MAGIC, MAX_DATAGRAM_BYTES, MAX_FUTURE_MS, MalformedDatagramError, Store
 
 NOW = 1_700_000_000_000.0
 
@@ -30,14 +30,14 @@
         self.now = NOW
 
     def new(self, node: int, count: int) -> Store:
-        store = Store(node, most=500)
+        store = Store(node, max_entries=500)
         for peer in range(count):
             if peer != node:
-                store.follow(peer)
+                store.add_peer(peer)
         return store
 
     def send(self, a: int, b: int, data: bytes) -> None:
-        assert len(data) <= DATAGRAM
+        assert len(data) <= MAX_DATAGRAM_BYTES
         for _ in range(2):
             if self.rng.random() > self.loss:
                 self.flight.append((a, b, data))
@@ -47,7 +47,7 @@
         for a, store in enumerate(self.stores):
             b = self.rng.randrange(len(self.stores))
             if a != b:
-                for data in [*store.news(b, 2), store.digest()]:
+                for data in [*store.pending_updates(b, 2), store.digest()]:
                     self.send(a, b, data)
         for _ in range(len(self.flight)):  # in any order; some stay for later rounds
             if self.rng.random() < 0.8:
@@ -89,11 +89,11 @@
     made: list[bytes] = []
     for node in range(3):
         store = Store(node)
-        store.follow(9)
+        store.add_peer(9)
         for who, key, tick in writes:
             if who == node:
                 store.put(f"k{key}", bytes([key, tick]), NOW + tick)
-                made += store.news(9, 9)
+                made += store.pending_updates(9, 9)
     found = []
     for _ in range(2):
         rng.shuffle(made)
@@ -106,11 +106,11 @@
 
 def test_the_last_writer_wins_and_a_deleted_value_stays_deleted() -> None:
     a, b = Store(0), Store(1)
-    a.follow(1)
+    a.add_peer(1)
     a.put("k", b"old", NOW)
-    old = a.news(1, 9)
+    old = a.pending_updates(1, 9)
     a.put("k", b"new", NOW)
-    for data in a.news(1, 9) + old:
+    for data in a.pending_updates(1, 9) + old:
         b.receive(0, data, NOW)
     assert b.get("k", NOW) == b"new"
     b.delete("k", NOW + 1)
@@ -121,9 +121,9 @@
 
 def test_entries_expire_and_do_not_come_back() -> None:
     a, b = Store(0), Store(1)
-    a.follow(1)
+    a.add_peer(1)
     a.put("k", b"v", NOW, ttl_ms=1000.0)
-    late = a.news(1, 9)
+    late = a.pending_updates(1, 9)
     assert a.get("k", NOW + 999) == b"v" and a.get("k", NOW + 1001) is None
     a.expire(NOW + 1001)
     assert len(a) == 0
@@ -133,7 +133,7 @@
 
 
 def test_memory_is_bounded_and_configuration_outlives_claims() -> None:
-    store = Store(0, most=50)
+    store = Store(0, max_entries=50)
     store.put("config/x", b"1", NOW)
     for i in range(5000):
         store.put(f"state/{i}", b"c", NOW + i, ttl_ms=100_000.0)
@@ -141,7 +141,7 @@
     assert store.get("config/x", NOW + 5000) == b"1"
     assert store.get("state/4999", NOW + 5000) == b"c"
     assert len(store._by_expiry) <= 2 * 50 + 65
-    full = Store(0, most=2)
+    full = Store(0, max_entries=2)
     assert full.put("a", b"", NOW) and full.put("b", b"", NOW)
     assert not full.put("c", b"", NOW)  # nothing there would ever give way
     assert not full.put("k" * 97, b"", NOW) and not full.put("a", b"v" * 101, NOW)
@@ -155,11 +155,11 @@
     "data",
     [b"", MAGIC, b"xx1\x02", MAGIC + b"\x09", MAGIC + b"\x01short", entry(size=9), entry(key=b"\xff"),
      entry(gone=2), entry()[:-6], entry(key=b"") , entry() + b"rest", MAGIC + b"\x01" + b"a" * 300,
-     entry(stamp=NOW + 2 * FUTURE_MS)],
+     entry(stamp=NOW + 2 * MAX_FUTURE_MS)],
 )
 def test_garbled_datagrams_change_nothing(data: bytes) -> None:
     store = Store(0)
-    with pytest.raises(GarbledDatagramError):
+    with pytest.raises(MalformedDatagramError):
         store.receive(1, data, NOW)
     assert len(store) == 0
 
@@ -169,11 +169,11 @@
 def test_any_bytes_are_merged_or_garbled(data: bytes) -> None:
     store = Store(0)
     for prefix in (b"", MAGIC, MAGIC + b"\x02"):
-        with suppress(GarbledDatagramError):
+        with suppress(MalformedDatagramError):
             store.receive(1, prefix + data, NOW)
 
 
 def test_alike_stores_say_one_datagram_and_answer_none() -> None:
     a, b = Store(0), Store(1)
     assert b.receive(0, a.digest(), NOW) == []
-    assert len(a.digest()) <= DATAGRAM
+    assert len(a.digest()) <= MAX_DATAGRAM_BYTES
