--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from . import __version__
-from .admin import Admin
+from .admin import AdminSocket
 from .clock import Clock
 from .config import Address, Config, ConfigError, check_reload, load, parse_address
 from .core import Core
@@ -29,7 +29,7 @@
 from .net.gearman import Gearman
 from .net.http import INBOUND_PART, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
-from .net.ops import Ops
+from .net.ops import OpsServer
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
 from .ops.retune import RELOADABLE_SETTINGS
@@ -110,7 +110,7 @@
 
 
 def ops_for(listen: Address, config: Config, core: Core, counters: Counters, shared_files: SharedFiles,
-            inbound: Inbound, destinations: DiscoveryClient) -> Ops:
+            inbound: Inbound, destinations: DiscoveryClient) -> OpsServer:
     """The operators' address, wired to who knows the answers."""
 
     def move(worker: str, out: bool) -> int:
@@ -128,7 +128,7 @@
         late = core.clock.now() - began > UNTOLD_MS and core.targets()[0] > 0
         return inbound.handler.ready and (destinations.has_answered or late)
 
-    return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
+    return OpsServer(listen, counters, max(4, config.limits.sockets // 32), ready,
                lambda: core.job_stats.snapshot(core.concurrent, *core.targets()), move)
 
 
@@ -162,7 +162,7 @@
                                                                    "address.listen"), address.fence, 0.5 * part)
             # An id that is open at one of them is refused at the other.
             moving.handler.open_ids = inbound.handler.open_ids
-    admin = Admin(config.fronts.admin, counters, {"status": lambda: {
+    admin = AdminSocket(config.fronts.admin, counters, {"status": lambda: {
         **status(config, core, counters, address),
         **({"gearman": gearmen.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
--- a/gaphub/admin.py
+++ b/gaphub/admin.py
@@ -29,7 +29,7 @@
     to: str = ""
 
 
-class Admin:
+class AdminSocket:
     """The socket; ``answers`` are the questions that it knows."""
 
     def __init__(self, front: AdminConfig, counters: Counters, answers: Mapping[str, Callable[[], Any]]) -> None:
--- a/gaphub/cluster/witness.py
+++ b/gaphub/cluster/witness.py
@@ -9,7 +9,7 @@
 import asyncio
 import signal
 
-from ..admin import Admin
+from ..admin import AdminSocket
 from ..config import WitnessConfig
 from ..metrics import Counters
 from .node import Node
@@ -18,7 +18,7 @@
 async def witness(config: WitnessConfig, counters: Counters, stop: asyncio.Event, reload: asyncio.Event) -> None:
     """Vote until ``stop``; each ``reload`` reads the key ring again."""
     node = Node(config.cluster, counters, lambda _: None)
-    admin = Admin(config.admin, counters, {"status": lambda: {"cluster": node.status(),
+    admin = AdminSocket(config.admin, counters, {"status": lambda: {"cluster": node.status(),
                                                               "counters": counters.snapshot()}})
     try:
         await node.open()
--- a/gaphub/lab/fleet.py
+++ b/gaphub/lab/fleet.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from ..metrics import GAINS
+from ..metrics import GAINED
 
 # A line may stand behind the time at which whoever kept the log took it in, in seconds.
-_LINE = re.compile(rf"^(?:(\d+(?:\.\d+)?) )?gaphub: {GAINS}: (.*)$")
+_LINE = re.compile(rf"^(?:(\d+(?:\.\d+)?) )?gaphub: {GAINED}: (.*)$")
 _GAIN = re.compile(r"([\w.]+)=(\d+)")
 
 
--- a/gaphub/metrics.py
+++ b/gaphub/metrics.py
@@ -17,7 +17,7 @@
 
 LINES_PER_WINDOW = 5  # log lines of one kind in a window; more are only counted
 WINDOW_S = 10.0
-GAINS = "gained"  # the kind of the line that says what the counters gained
+GAINED = "gained"  # the kind of the line that says what the counters gained
 
 
 def _plain(kind: str, text: str) -> None:
@@ -57,7 +57,7 @@
 # --- Graphite: lines of "path value timestamp" over TCP -----------------------------------------------
 
 SINK_S = 2.0  # for a connection or a write; past it the sink is dead until its next turn
-PACKET_MOST = 1452  # bytes of a collectd packet
+MAX_PACKET_BYTES = 1452  # bytes of a collectd packet
 
 # Types of collectd's binary parts, and of its values.
 _HOST, _PLUGIN, _PLUGIN_INSTANCE, _TYPE, _TYPE_INSTANCE, _VALUES, _TIME_HR, _INTERVAL_HR = (
@@ -81,7 +81,7 @@
     for name, value in values.items():
         part = _text(_TYPE_INSTANCE, name.replace(".", "-")) + struct.pack(
             ">HHHBq", _VALUES, 15, 1, _DERIVE, value)
-        if not packets or len(packets[-1]) + len(part) > PACKET_MOST:
+        if not packets or len(packets[-1]) + len(part) > MAX_PACKET_BYTES:
             packets.append(head)
         packets[-1] += part
     return packets
@@ -116,7 +116,7 @@
         while self.log_s:
             await asyncio.sleep(self.log_s - time.time() % self.log_s)  # on the second, alike in a fleet
             now = self.counters.snapshot()
-            self.counters.line(GAINS, " ".join(f"{name}={n - before.get(name, 0)}" for name, n in now.items()
+            self.counters.line(GAINED, " ".join(f"{name}={n - before.get(name, 0)}" for name, n in now.items()
                                                if n != before.get(name, 0)))
             before = now
 
--- a/gaphub/net/ops.py
+++ b/gaphub/net/ops.py
@@ -52,18 +52,18 @@
     task: asyncio.Task[None] = field(init=False)
 
 
-class Ops:
+class OpsServer:
     """The listener; ``ready``, ``stats`` and ``move`` are asked for the answers.
 
     ``move(id, out)`` gives the status of taking a worker out, or putting it back.
     """
 
-    def __init__(self, listen: Address, counters: Counters, most: int, ready: Callable[[], bool],
+    def __init__(self, listen: Address, counters: Counters, max_connections: int, ready: Callable[[], bool],
                  stats: Callable[[], Any], move: Down) -> None:
         """``most``: connections at once; beyond it the one that has waited longest goes."""
         self.listen = listen
         self.counters = counters
-        self.most = most
+        self.max_connections = max_connections
         self.ready = ready
         self.stats = stats
         self.move = move
@@ -91,7 +91,7 @@
 
     def free(self) -> int:
         """How many more connections callers may have."""
-        return self.most - len(self._calls)
+        return self.max_connections - len(self._calls)
 
     def make_room(self, wanted: int) -> bool:
         """Have callers end that send nothing, the oldest first; whether any is about to.
