--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -250,7 +250,7 @@
 
     record_limit(Inbound, "room")
     record_limit(Pools, "sockets")
-    record_limit(OpsServer, "most")
+    record_limit(OpsServer, "max_connections")
     if fronts:
         record_limit(Gearman, "most")
 
