--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -114,9 +114,9 @@
         self.heap: list[tuple[float, int, int, Attempt | Job | None]] = []
         self.serial = 0
         self.armed_at = 0.0  # when the pending alarm comes due; 0: none
-        self.service = min(c.aim_ms for c in settings.classes)  # ms; the usual time of any job
-        self.ran = self.service  # ms; the usual time of any job from its start
-        self.began = now
+        self.mean_response_ms = min(c.aim_ms for c in settings.classes)  # ms; the usual time of any job
+        self.mean_run_ms = self.mean_response_ms  # ms; the usual time of any job from its start
+        self.started_at = now
         self.warm = 0
         self.served_cost = 0.0
         self.served_at = now
@@ -126,7 +126,7 @@
         self.local_busy = 0.0
         self.reach = ZoneReach(settings.zones)
         self.full = 0.0  # the share of attempts that are turned away as full
-        self.strain = 0.0  # the share of own jobs that start late, else of reports without a free slot
+        self.saturation = 0.0  # the share of own jobs that start late, else of reports without a free slot
         self.longest_left_ms = [0.0] * len(settings.classes)  # the longest wait that a client has had left
         self.quotas = TenantQuotas(now, len(settings.tenants))
         self.watching = False
@@ -312,7 +312,7 @@
         if job.over or job.attempts or job.looks_out < 0:
             return
         free = any(self.reports.free(now, w, job.slots, job.memory) for w in job.looked)
-        self.strain += ((not free) - self.strain) * STRAIN_START
+        self.saturation += ((not free) - self.saturation) * STRAIN_START
         if not free and job.rounds < LOOK_ROUNDS and self._look(job, now):
             return
         job.looks_out = -1
@@ -368,8 +368,8 @@
 
     def _served_rate(self, now: float) -> float:
         """Mean jobs a ms that it gets served by a warm worker; it may send many times that."""
-        now = now if self.warm else max(self.began, self.served_at)  # where none is left, as it was
-        known = 1.0 - exp((self.began - now - 1.0) / RATE_MS)  # of the time over which it is measured
+        now = now if self.warm else max(self.started_at, self.served_at)  # where none is left, as it was
+        known = 1.0 - exp((self.started_at - now - 1.0) / RATE_MS)  # of the time over which it is measured
         return self.served_cost * exp((self.served_at - now) / RATE_MS) / (RATE_MS * known)
 
     @staticmethod
@@ -410,9 +410,9 @@
         """How long a job sent now would wait there."""
         slots = self._slots(w, now)
         if slots <= 0.0:
-            return self.reports.wait_ms(now, w, self.service)
+            return self.reports.wait_ms(now, w, self.mean_response_ms)
         slow = self._usual_ms(job, w) / exp(job.type.mean_log) / (job.hint if job.hint > 0 else 1.0)
-        return max(0.0, self._out(w) + job.slots - slots) / slots * self.ran * slow
+        return max(0.0, self._out(w) + job.slots - slots) / slots * self.mean_run_ms * slow
 
     def _tell_count(self, w: Worker, now: float, more: bool) -> None:
         """Tell the peers, when it is time, that this gateway's count at a worker has changed."""
@@ -559,7 +559,7 @@
     def _shed(self, job: Job, w: Worker, tier: int, now: float) -> str:
         """Why it is turned away, if so: what is over a tenant's share goes first, then what would wait."""
         share = self.settings.over_share_worth if job.over_share else 1.0
-        over = self.strain - SHED_FROM - SHED_VALUE * self._value(job) ** 0.5 * share
+        over = self.saturation - SHED_FROM - SHED_VALUE * self._value(job) ** 0.5 * share
         if self.rng.random() * SHED_WIDTH < over or (tier > 0 and share < 0.5):
             return "strain"
         patience = (SHED_WAIT + SHED_WAIT_VALUE * self._value(job)) * self._pressing_ms(job)
@@ -589,7 +589,7 @@
         if self.settings.tells_start and not job.seen_start:
             job.seen_start = True
             late = delay > STRAIN_LATE * self._pressing_ms(job)
-            self.strain += (late - self.strain) * STRAIN_START
+            self.saturation += (late - self.saturation) * STRAIN_START
 
     def _send_to(self, job: Job, w: Worker, now: float) -> None:
         local = w.zone == self.settings.zone
@@ -839,9 +839,9 @@
                 self.served_cost = (self.served_cost * exp((self.served_at - now) / RATE_MS)
                                     + job.cost / self.mean_cost / max(1, self.warm))
                 self.served_at = now
-            self.service += (latency_ms - self.service) * MEAN_STEP
+            self.mean_response_ms += (latency_ms - self.mean_response_ms) * MEAN_STEP
             ran = now - a.started_at if a.started_at >= 0 else latency_ms
-            self.ran += (ran - self.ran) * MEAN_STEP
+            self.mean_run_ms += (ran - self.mean_run_ms) * MEAN_STEP
             if job.hint > 0 and a.started_at >= 0:
                 self.run[w.kind] += ((now - a.started_at) / job.hint - self.run[w.kind]) * RUN_STEP
             if latency_ms > 0:
@@ -894,7 +894,7 @@
         if len(r.idle_free_slots) > known:
             self._tell(self.occupancy.announce_capacity(r.idle_free_slots))
         if r.useful and fresh and not self.looks and not self.settings.tells_start:
-            self.strain += ((report[r.slots] < 1.0) - self.strain) * STRAIN_REPORT
+            self.saturation += ((report[r.slots] < 1.0) - self.saturation) * STRAIN_REPORT
         if r.inflight >= 0:
             self.quotas.saw_report(w.slots_out, report[r.inflight])
 
--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -18,7 +18,10 @@
 AGE_MS = 5_000.0  # an older page is of a process that ended, or stood still
 SAME_START_MS = 5.0  # two processes reckon one start alike but for so much
 MOMENTS = ("served_at", "began")  # of what is measured: moments of the clock
-MEASURED = ("service", "ran", "mean_cost", "served_cost", "served_at", "strain", "local_busy", "began")
+MEASURED = {  # stored name -> attribute of the Balancer
+    "service": "mean_response_ms", "ran": "mean_run_ms", "mean_cost": "mean_cost", "served_cost": "served_cost",
+    "served_at": "served_at", "strain": "saturation", "local_busy": "local_busy", "began": "started_at",
+}
 
 
 class Profile(msgspec.Struct, frozen=True, array_like=True):
@@ -59,7 +62,8 @@
     r = balancer.reports
     cold = {names[w.id]: (w.ready_at, w.cold_allowance.light, w.cold_allowance.heavy, w.cold_allowance.counted_at)
             for w in balancer.fleet.workers.values() if w.ready_at > 0.0 and w.id in names}
-    page = Legacy(FORMAT, scheduler, now, base, {key: float(getattr(balancer, key)) for key in MEASURED},
+    page = Legacy(FORMAT, scheduler, now, base, {
+        key: float(getattr(balancer, attribute)) for key, attribute in MEASURED.items()},
                   {kind: (mean, r.max_free_slots.get(kind, mean)) for kind, mean in r.idle_free_slots.items()},
                   rows, cold)
     return seal(msgspec.json.encode(page))
@@ -89,9 +93,9 @@
 
 def take(balancer: Balancer, page: Legacy, live: dict[str, int], numbers: dict[str, int]) -> None:
     """Let a fresh Balancer go on from a page; ``numbers``: the listed workers' numbers by id."""
-    for key in MEASURED:
+    for key, attribute in MEASURED.items():
         if key in page.values:
-            setattr(balancer, key, page.values[key])
+            setattr(balancer, attribute, page.values[key])
     for kind, (mean, most) in page.free.items():
         if 0 <= kind < balancer.settings.kinds:
             balancer.reports.idle_free_slots[kind] = mean
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -81,5 +81,5 @@
     (old, page), (new, _) = found
     assert new.clock.now() - old.clock.now() == pytest.approx(step_s * 1e3, abs=1e3)
     assert new.inherit(page)
-    assert new.balancer.began <= new.clock.now()
-    assert new.clock.now() - new.balancer.began < 60_000.0
+    assert new.balancer.started_at <= new.clock.now()
+    assert new.clock.now() - new.balancer.started_at < 60_000.0
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -283,14 +283,14 @@
     world.actions.refused.clear()
     cheaps = [world.request(0) for _ in range(20)]
     assert sum(r in world.actions.refused for r in cheaps) > 10
-    world.balancer.strain = 0.5
+    world.balancer.saturation = 0.5
     dears = [world.request(1) for _ in range(20)]
     assert not any(r in world.actions.refused for r in dears)
 
 
 def test_of_equal_work_what_takes_more_slots_goes_first() -> None:
     world = World(workers=1, tells_start=True, classes=(ClassSettings(aim_ms=300.0, deadline_ms=5000.0),))
-    world.balancer.strain = 0.75  # past what four slots are worth, short of what one is
+    world.balancer.saturation = 0.75  # past what four slots are worth, short of what one is
     one, four = world.request(slots=1.0), world.request(slots=4.0)
     assert (world.actions.refused, world.worker_of(one)) == ([four], 1)
 
