--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -35,11 +35,12 @@
 WATCH_MARGIN_S = 0.5  # an answer that is later than this after the wait: the agent is silent, the call is retried
 CALL_TIMEOUT_S = 2.0  # for connecting and for calls without a wait
 RETRY_MIN_S = 0.1  # after a failed call; doubles with each further failure up to the maximum of the mode
-RETRY_MAX_S = 0.8  # in subscribe mode: the list of an agent with a new address counts as delivered within seconds
+# In subscribe mode.  After a change of the agent's address, its list counts as delivered within seconds.
+RETRY_MAX_S = 0.8
 # In automatic mode, what the agent has counts as delivered at once, also when it has just come back after an
 # outage.  Its calls cost nothing, so it is retried soon enough to keep the drain grace period.
 AUTO_RETRY_MAX_S = 0.2  # the agent takes a watch as continued if the next call comes within this time
-GRACE_FRACTION = 0.25  # of the drain grace period: maximum pause in automatic mode
+GRACE_FRACTION = 0.25  # of the drain grace period: the longest pause in automatic mode
 AUTO_RETRY_MIN_S = 0.02  # lower bound of that maximum, however short the grace period
 # Bounds the calls per second to an agent that answers watches at once: after an immediate answer without changes
 # the next call waits RETRY_MIN_S, and after more than IMMEDIATE_MAX immediate answers in a row IMMEDIATE_PAUSE_S.
