--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: every fault ends in a message that names the key, and the program exits non-zero."""
+"""Configuration: every fault gives an error that names the key, and the program exits with status 2."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 def test_defaults_and_the_deploy_file() -> None:
     config = read(DEFAULT_FRONTS_PATH.read_text())
     assert config.listen == ("127.0.0.1", 3000)
-    assert config.fronts.gearman_address() is None  # off on the platform
+    assert config.fronts.gearman_address() is None  # off in deploy/fronts.toml
     assert config.fronts.metrics.graphite.address == "" == config.fronts.metrics.collectd.address
     assert config.limits.sockets == 1024
     assert config.settings.connect_timeout_ms == 150.0
 
 
-# Guards against a default that allows what the settings do not name.
+# Guards against a default that permits what the settings do not mention.
 def test_what_settings_do_not_name_is_not_allowed() -> None:
     bare = {"grades": [{"name": "one", "slo": 500.0, "deadline": 5000.0}]}
     settings = read(settings=bare).settings
@@ -59,7 +59,7 @@
         ("limits: not an object", {"settings": {**SETTINGS, "limits": 4}}),
         ("limits.connIdle", {"settings": {**SETTINGS, "limits": {"connIdle": -1}}}),
         ("me: 7", {"settings": {**SETTINGS, "me": 7}}),
-        ("name of its own", {"settings": {**SETTINGS, "grades": SETTINGS["grades"] * 2}}),
+        ("unique name", {"settings": {**SETTINGS, "grades": SETTINGS["grades"] * 2}}),
         ("LB_LISTEN", {"env": {"LB_DISCOVERY": "127.0.0.1:1"}}),
         ("LB_DISCOVERY", {"env": {**ENV, "LB_DISCOVERY": "127.0.0.1:99999"}}),
         ("gearman.listen", {"fronts": "[gearman]\nlisten = 'x'"}),
