--- a/gaphub/attempt_rules.py
+++ b/gaphub/attempt_rules.py
@@ -32,7 +32,7 @@
 def _in_group(group: Group, before: list[Call], destination: Destination) -> bool:
     """Whether a destination shares what it remembers of requests with all those of earlier calls."""
     listed = destination.listed
-    others = [call.to or call.destination.listed for call in before]
+    others = [call.listed_at_send or call.destination.listed for call in before]
     if group == Group.ZONE:
         return all(other.zone == listed.zone for other in others)
     if group == Group.CELL:
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -26,14 +26,14 @@
 )
 from .logic import Balancer
 from .messages import (
-    NOWHERE,
+    NO_DESTINATION,
     Answer,
     Call,
     CallPort,
     Destination,
-    Ending,
+    FinalStatus,
     Job,
-    Listed,
+    ListedDestination,
     ListPort,
     Outcome,
     PeerPort,
@@ -102,13 +102,13 @@
 
     def turn_away(self, job: Job, return_ms: float = 1e9) -> Answer:
         """A refusal at the door: the core never takes the job, but it is counted."""
-        self.figures.ended(self.class_names[job.class_index], Ending.REFUSED.value)
+        self.figures.ended(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(return_ms)
 
     def refusal(self, return_ms: float = 1e9) -> Answer:
         """A refusal of the core's own, with a time to return where the settings allow one."""
         return_ms = min(return_ms, self.settings.max_retry_after_ms)
-        return Answer(Ending.REFUSED, retry_after_ms=return_ms if self.settings.retry_after else 0.0)
+        return Answer(FinalStatus.REFUSED, retry_after_ms=return_ms if self.settings.retry_after else 0.0)
 
     @property
     def class_names(self) -> tuple[str, ...]:
@@ -195,24 +195,24 @@
         self.counters.add("requests.taken")
         # Guards against a client with an endless time-out: the Balancer takes the longest wait that it has
         # seen of a class for a first try's, and would hold everybody else's for hopelessly late retries.
-        job.ends = job.received_at + min(job.left_ms, self.settings.classes[job.class_index].deadline_ms)
+        job.deadline = job.received_at + min(job.left_ms, self.settings.classes[job.class_index].deadline_ms)
         self._serial += 1
         job.number = self._serial
         self._jobs[job.number] = job
-        job.most_calls = self.settings.max_attempts
-        if job.ends - now <= EARLY_MS:
+        job.max_calls = self.settings.max_attempts
+        if job.deadline - now <= EARLY_MS:
             self._answer(job, self.refusal())
             self._settle(job)
             return
         if not self.may_write(job):
             self._fence_off(job)
             return
-        heappush(self._deadlines, (job.ends - EARLY_MS, job.number))
+        heappush(self._deadlines, (job.deadline - EARLY_MS, job.number))
         # No front tells whose a request is.  Guards against settings with tenants: as the first one's, all were
         # past its quota, and so turned away first.
         nobody = len(self.settings.tenants)
-        request = Request(job.number, job.class_index, job.told_ms or job.ends - now, nobody, job.key, 0.0,
-                          job.slots, job.memory, job.is_retry)
+        request = Request(job.number, job.class_index, job.balancer_budget_ms or job.deadline - now, nobody,
+                          job.key, 0.0, job.slots, job.memory, job.is_retry)
         if not self._guard(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
             self._give_up(job)
 
@@ -224,8 +224,9 @@
         """The right to serve this request is gone and nothing of it is out: its final answer, at once."""
         if not job.answered:
             self.counters.add("requests.fenced")
-            return_ms = job.fence.return_ms if job.fence is not None else 0.0
-            self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job) else Answer(Ending.FAILED))
+            return_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
+            self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job)
+                         else Answer(FinalStatus.FAILED))
             self._drop(job)
 
     def fence_lost(self) -> None:
@@ -242,7 +243,7 @@
     def withdraw(self, job: Job) -> None:
         """An operator takes a request back; refused where that is harmless, else it stays."""
         if not job.answered and all(c.never_ran or (c.status is None and not c.written) for c in job.calls):
-            self._answer(job, Answer(Ending.REFUSED))
+            self._answer(job, Answer(FinalStatus.REFUSED))
             self._drop(job)
 
     def _drop(self, job: Job) -> None:
@@ -253,17 +254,17 @@
 
     def _give_up(self, job: Job) -> None:
         """The core's own final answer, where the Balancer gave none."""
-        self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(Ending.FAILED))
+        self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(FinalStatus.FAILED))
         self._drop(job)
 
     def _answer(self, job: Job, answer: Answer) -> None:
         if job.answered:
             return
         job.answered = True
-        job.ending = answer.ending.value + job.why
-        job.answered_ms = self.clock.now() - job.received_at
-        self.counters.add(f"requests.{answer.ending.value}")
-        self.figures.ended(self.class_names[job.class_index], answer.ending.value)
+        job.final_status = answer.final_status.value + job.give_up_reason
+        job.answered_after_ms = self.clock.now() - job.received_at
+        self.counters.add(f"requests.{answer.final_status.value}")
+        self.figures.ended(self.class_names[job.class_index], answer.final_status.value)
         try:
             job.reply(answer)
         except Exception as error:  # a front that fails must not stop the core
@@ -283,8 +284,8 @@
 
     def news(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
         """News of a call for the front that took its request."""
-        if call.status is None and not call.job.answered and call.job.news is not None:
-            call.job.news(kind, data)
+        if call.status is None and not call.job.answered and call.job.on_update is not None:
+            call.job.on_update(kind, data)
 
     def started(self, call: Call) -> None:
         """A worker began a call."""
@@ -306,18 +307,18 @@
         call.status = outcome.status
         job.open_calls -= 1
         now = self.clock.now()
-        call.took_ms = now - call.sent_at
+        call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
         if self._left(job):
             self.gone(job)  # before the Balancer may choose a retry that nobody waits for
         told = outcome.status
         if outcome.status == Status.OK:
-            self._answer(job, Answer(Ending.SERVED, outcome.body))
-        elif outcome.at_fault:
+            self._answer(job, Answer(FinalStatus.SERVED, outcome.body))
+        elif outcome.request_invalid:
             # Guards against clients whose requests every worker turns down: sent on four times each, they
             # had well workers ruled out as failing.  It says nothing of the worker, and none would do better.
             self.counters.add("calls.at_fault")
-            self._answer(job, Answer(Ending.FAILED))
+            self._answer(job, Answer(FinalStatus.FAILED))
             told = Status.MOOT
         sound = self._guard(lambda: self.balancer.on_outcome(
             now, job.number, call.index, told, now - call.sent_at, job.answered, outcome.report))
@@ -335,15 +336,15 @@
             return None
         if not destination.listed.able >> job.class_index & 1:
             return None
-        if job.answered or now >= job.ends or self._left(job):
+        if job.answered or now >= job.deadline or self._left(job):
             return None
-        if job.open_calls >= (COPIES if self.settings.second_copies else 1) or len(job.calls) >= job.most_calls:
+        if job.open_calls >= (COPIES if self.settings.second_copies else 1) or len(job.calls) >= job.max_calls:
             return None
         return destination if may_run_at(self.settings, job, destination, now) else None
 
     @staticmethod
     def _left(job: Job) -> bool:
-        return job.left is not None and job.left() > 0.0
+        return job.client_left_at is not None and job.client_left_at() > 0.0
 
     def may_go_on(self, call: Call) -> Status | None:
         """Asked by a port before the first byte of a call: None if it may be written, else why not.
@@ -351,7 +352,7 @@
         Guards against what happens while a call waits for its connection: its worker drains, goes or is
         restarted, its client leaves, the window in which a repeat is harmless ends.
         """
-        listed, at = call.destination.listed, call.to or call.destination.listed
+        listed, at = call.destination.listed, call.listed_at_send or call.destination.listed
         if listed.state != WorkerState.READY or (listed.addr, listed.started_ms) != (at.addr, at.started_ms):
             self.counters.add("calls.overtaken")
             return Status.FULL
@@ -382,7 +383,7 @@
         destination = self._allowed(job, worker, now)
         if destination is None:
             self.counters.log("calls.not_allowed", job.ident)
-            call = Call(job, len(job.calls), self.destinations.get(worker) or NOWHERE, now, now)
+            call = Call(job, len(job.calls), self.destinations.get(worker) or NO_DESTINATION, now, now)
             call.status = Status.MOOT
             # It has a number at the Balancer, so it has one here: else the outcomes of later ones are
             # told under the numbers of others.
@@ -392,8 +393,8 @@
             self._later.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
-        ends = min(job.ends, now + timeout_ms) if timeout_ms > 0 else job.ends
-        call = Call(job, len(job.calls), destination, now, ends, to=destination.listed)
+        ends = min(job.deadline, now + timeout_ms) if timeout_ms > 0 else job.deadline
+        call = Call(job, len(job.calls), destination, now, ends, listed_at_send=destination.listed)
         job.calls.append(call)
         job.open_calls += 1
         self.counters.add("calls.sent")
@@ -404,7 +405,7 @@
             outcome = Outcome(Status.CONNECT_FAILED)
         if outcome is not None:
             self._later.append(partial(self.ended, call, outcome))
-        elif ends < job.ends:
+        elif ends < job.deadline:
             self._serial += 1
             heappush(self._call_ends, (ends, self._serial, call))
 
@@ -412,11 +413,11 @@
         """Final answer: refused.  A refusal that would be untrue is sent as a failure."""
         job = self._jobs.get(request)
         if job is not None:
-            ending = Ending.REFUSED if may_repeat(self.settings, job) else Ending.FAILED
-            job.why = f":{self.balancer.why}"
+            ending = FinalStatus.REFUSED if may_repeat(self.settings, job) else FinalStatus.FAILED
+            job.give_up_reason = f":{self.balancer.why}"
             self.counters.add("given_up.tried" if job.calls else "given_up.untried")
             if job.fence is not None and not job.fence.holds():
-                retry_after_ms = job.fence.return_ms
+                retry_after_ms = job.fence.retry_after_ms
             self._answer(job, Answer(ending, retry_after_ms=retry_after_ms))
             self._settle(job)
 
@@ -424,8 +425,8 @@
         """Final answer: failed."""
         job = self._jobs.get(request)
         if job is not None:
-            job.why = f":{self.balancer.why}"
-            self._answer(job, Answer(Ending.FAILED))
+            job.give_up_reason = f":{self.balancer.why}"
+            self._answer(job, Answer(FinalStatus.FAILED))
             self._settle(job)
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -489,7 +490,7 @@
 
     # -- the destination set and the peers --
 
-    def listed(self, source: str, kind: int, entries: Sequence[Listed]) -> None:
+    def listed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> None:
         """A source named destinations; FULL and CACHED name all of that source's."""
         now = self.clock.now()
         self.destinations.saw_clock(self.clock.stepped_ms())
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from .interface import ListedWorker, ListKind, WorkerState
-from .messages import Destination, Listed, identity
+from .messages import Destination, ListedDestination, identity
 from .ops.out import Outs
 from .start_times import StartTimes
 
@@ -60,7 +60,7 @@
         """Discovery answered, with news or without."""
         self._starts.heard(now)
 
-    def take(self, now: float, source: str, kind: int, entries: Sequence[Listed]
+    def take(self, now: float, source: str, kind: int, entries: Sequence[ListedDestination]
              ) -> tuple[int, list[ListedWorker]]:
         """Follow what a source named; FULL and CACHED name all of that source's.
 
@@ -82,24 +82,25 @@
         """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
         wanted = set(names)
         self._able.clear()
-        return [self._follow(now, d.source, replace(d.listed, state=d.said))
+        return [self._follow(now, d.source, replace(d.listed, state=d.reported_state))
                 for d in list(self.by_number.values()) if d.listed.name in wanted]
 
-    def _unnamed(self, source: str, kind: int, entries: Sequence[Listed]) -> list[Listed]:
+    def _unnamed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> list[ListedDestination]:
         """Those of a source that its whole list does not name any more."""
         if kind not in (ListKind.FULL, ListKind.CACHED):
             return []
         known = {name for s, name in self._numbers if s == source}
-        return [Listed(name, "", WorkerState.GONE) for name in sorted(known - {e.name for e in entries})]
+        return [ListedDestination(name, "", WorkerState.GONE)
+                for name in sorted(known - {e.name for e in entries})]
 
-    def _remember(self, entries: Sequence[Listed]) -> None:
+    def _remember(self, entries: Sequence[ListedDestination]) -> None:
         for entry in entries:
             self._ever.pop(entry.name, None)
             self._ever[entry.name] = None
         while len(self._ever) > max(EVER_MOST, len(self.by_number)):
             del self._ever[next(iter(self._ever))]
 
-    def _follow(self, now: float, source: str, entry: Listed) -> ListedWorker:
+    def _follow(self, now: float, source: str, entry: ListedDestination) -> ListedWorker:
         """Take one entry in; as the decisions are to know it."""
         number = self._number(source, entry.name)
         known = self.by_number.get(number)
@@ -113,7 +114,7 @@
             known.listed.state = WorkerState.GONE
             del self._numbers[source, entry.name], self.by_number[number]
         else:
-            known.said = entry.state
+            known.reported_state = entry.state
             if entry.state == WorkerState.READY and self.outs.holds(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             known.listed = entry
--- a/gaphub/messages.py
+++ b/gaphub/messages.py
@@ -14,7 +14,7 @@
 from .interface import NEVER_RAN, Status, WorkerState
 
 
-class Ending(Enum):
+class FinalStatus(Enum):
     """The final answer of a request."""
 
     SERVED = "served"
@@ -25,7 +25,7 @@
 class Fence(Protocol):
     """A right to serve that may end at any moment, such as the lease of a service address."""
 
-    return_ms: float  # when a client that is refused for want of it may come back
+    retry_after_ms: float  # when a client that is refused for want of it may come back
 
     def holds(self) -> bool:
         """Whether it is valid at this moment, by the clock: asked anew before each side effect."""
@@ -35,7 +35,7 @@
 class Answer:
     """A final answer on its way to the front that took the request."""
 
-    ending: Ending
+    final_status: FinalStatus
     body: bytes = b""
     retry_after_ms: float = 0.0
 
@@ -56,25 +56,25 @@
     slots: float = 1.0
     memory: float = 0.0
     is_retry: bool = False
-    passed: tuple[tuple[bytes, bytes], ...] = ()  # further headers that a worker gets as they came
-    news: Callable[[str, tuple[bytes, ...]], None] | None = None  # what its front wants to hear meanwhile
-    front: object = None  # the front's own record of it
-    told_ms: float = 0.0  # what the Balancer is told is left; 0: what is left
+    forwarded_headers: tuple[tuple[bytes, bytes], ...] = ()  # further headers that a worker gets as they came
+    on_update: Callable[[str, tuple[bytes, ...]], None] | None = None  # what its front wants to hear meanwhile
+    front_context: object = None  # the front's own record of it
+    balancer_budget_ms: float = 0.0  # what the Balancer is told is left; 0: what is left
     fence: Fence | None = None  # what must hold while it is taken and sent; None: nothing
-    left: Callable[[], float] | None = None  # since when its client is known to have left, 0: it has not
+    client_left_at: Callable[[], float] | None = None  # since when its client is known to have left, 0: it has not
     number: int = 0
-    ends: float = 0.0
-    most_calls: int = 0  # as the settings allowed when it was taken
+    deadline: float = 0.0
+    max_calls: int = 0  # as the settings allowed when it was taken
     answered: bool = False
-    why: str = ""  # behind a colon, why the Balancer gave it up
-    ending: str = "gone"  # the final answer, and why
-    answered_ms: float = 0.0  # after it was received
+    give_up_reason: str = ""  # behind a colon, why the Balancer gave it up
+    final_status: str = "gone"  # the final answer, and why
+    answered_after_ms: float = 0.0  # after it was received
     calls: list[Call] = field(default_factory=list)
     open_calls: int = 0
 
 
 @dataclass(slots=True)
-class Listed:
+class ListedDestination:
     """One destination as a source of the destination set names it."""
 
     name: str
@@ -99,12 +99,12 @@
 
     number: int
     source: str
-    listed: Listed  # as it is to be used: one that is out by hand drains
-    said: int = WorkerState.READY  # its state as its source says
+    listed: ListedDestination  # as it is to be used: one that is out by hand drains
+    reported_state: int = WorkerState.READY  # its state as its source says
     identity: int = 0  # the same at every scheduler
 
 
-NOWHERE = Destination(0, "", Listed("", "", WorkerState.GONE))  # of a call that was not allowed
+NO_DESTINATION = Destination(0, "", ListedDestination("", "", WorkerState.GONE))  # of a call that was not allowed
 
 
 @dataclass(slots=True)
@@ -115,16 +115,16 @@
     index: int
     destination: Destination
     sent_at: float
-    ends: float
-    over: bool = False
+    deadline: float
+    finished: bool = False
     written: bool = False  # set by its port just before the last byte leaves
     timed_out: bool = False
-    took_ms: float = 0.0
+    duration_ms: float = 0.0
     status: Status | None = None
-    begun: bool = False  # set by its port when it first works on it
-    begun_at: float = 0.0  # when its first byte was about to leave, the last time; 0: never
+    task_started: bool = False  # set by its port when it first works on it
+    first_byte_at: float = 0.0  # when its first byte was about to leave, the last time; 0: never
     started_at: float = 0.0  # when its worker told that it runs; 0: it never did
-    to: Listed | None = None  # its destination as it was listed when it was sent
+    listed_at_send: ListedDestination | None = None  # its destination as it was listed when it was sent
 
     @property
     def never_ran(self) -> bool:
@@ -139,7 +139,7 @@
     status: Status
     body: bytes = b""
     report: tuple[float, ...] = ()
-    at_fault: bool = False  # with ERROR: the worker says that the request itself is wrong
+    request_invalid: bool = False  # with ERROR: the worker says that the request itself is wrong
 
 
 class CallPort(Protocol):
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -16,7 +16,7 @@
 from ..config import GARBLED, Address, Config, ConfigError, DestinationList, ListedEntry, address
 from ..core import Core
 from ..interface import ListKind, WorkerState
-from ..messages import Listed
+from ..messages import ListedDestination
 from ..metrics import Counters
 from .http import Connection, ConnectionLostError, NeverWrittenError
 
@@ -209,7 +209,7 @@
             await self.core.post(self.core.heard_discovery)
         return bool(entries or found.full)
 
-    def _entries(self, found: DestinationList) -> list[Listed]:
+    def _entries(self, found: DestinationList) -> list[ListedDestination]:
         return [self._entry(e) for e in found.servers if self._has_address(e)]
 
     def _has_address(self, e: ListedEntry) -> bool:
@@ -226,6 +226,6 @@
                 return False
         return True
 
-    def _entry(self, e: ListedEntry) -> Listed:
-        return Listed(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
+    def _entry(self, e: ListedEntry) -> ListedDestination:
+        return ListedDestination(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
                       self.zones.get(e.zone, 0), e.started_ms)
--- a/gaphub/net/gearman/ends.py
+++ b/gaphub/net/gearman/ends.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ...messages import Ending
+from ...messages import FinalStatus
 
 Key = tuple[bytes, bytes]  # function and unique
 
@@ -19,7 +19,7 @@
     """The recorded end of a job with a unique; ``body`` None: the result is kept no longer."""
 
     handle: bytes
-    ending: Ending
+    ending: FinalStatus
     body: bytes | None
     expires: float
 
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -68,7 +68,7 @@
 from ...gearman.queues import Bounds, Queues, Waiting
 from ...gearman.schedule import Schedule, epoch, next_moment
 from ...interface import Effect, ListKind, Status, WorkerState
-from ...messages import Answer, Call, Destination, Ending, Fence, Job, Listed, Outcome
+from ...messages import Answer, Call, Destination, Fence, FinalStatus, Job, ListedDestination, Outcome
 from ...metrics import Counters
 from ...store import Store
 from ...tasks import Tasks
@@ -408,8 +408,8 @@
         now = self.core.clock.now()
         job = Job(f"{self._random.getrandbits(64):016x}", class_index, now,
                   self.core.settings.classes[class_index].deadline_ms, partial(self._answered, work),
-                  workload, news=partial(self._told, work), front=work, fence=self.fence)
-        job.left = lambda: work.left_at
+                  workload, on_update=partial(self._told, work), front_context=work, fence=self.fence)
+        job.client_left_at = lambda: work.left_at
         work.job = job
         if due is None:
             self._queue(work, session.number, size)
@@ -475,7 +475,7 @@
         elif work.job.received_at + cls.deadline_ms - now >= TIME_AIMS * cls.aim_ms:
             # Guards against jobs turned away for having waited: the Balancer takes a request with less left
             # than usual for a late one.  Waiting here is what a queue is for; the core ends it in time.
-            work.job.told_ms = cls.deadline_ms
+            work.job.balancer_budget_ms = cls.deadline_ms
         self._out[work.job.class_index] += 1
         self._unstarted[(work.function, work.priority)] += 1
         self.core.offer(work.job)
@@ -550,7 +550,7 @@
 
     def _refused(self, work: Work) -> None:
         """A job that the core has never had ends: it did not run."""
-        self._answered(work, Answer(Ending.REFUSED), drawn=False)
+        self._answered(work, Answer(FinalStatus.REFUSED), drawn=False)
 
     def _unclaim(self, work: Work) -> None:
         """A job with a unique never ran: it may be submitted again."""
@@ -575,16 +575,18 @@
         if work.unique:
             never_twice = self._never_twice(work.job.class_index)
             now = self.core.clock.now()
-            if answer.ending is Ending.SERVED or (answer.ending is Ending.FAILED and never_twice):
+            if answer.final_status is FinalStatus.SERVED or (
+                    answer.final_status is FinalStatus.FAILED and never_twice):
                 self._by_unique.pop(key, None)
-                self._ends.put(key, End(work.handle, answer.ending, answer.body, now + self.set.keep_s * 1000.0))
+                self._ends.put(key, End(work.handle, answer.final_status, answer.body,
+                                        now + self.set.keep_s * 1000.0))
                 if never_twice:
-                    self.store.put(_claim(key), answer.ending.value.encode(), now, self.set.keep_s * 1000.0)
+                    self.store.put(_claim(key), answer.final_status.value.encode(), now, self.set.keep_s * 1000.0)
             else:
                 self._unclaim(work)
         for session in work.listeners:
             session.waits_for.discard(work)
-            _tell_end(session, work.handle, answer.ending, answer.body)
+            _tell_end(session, work.handle, answer.final_status, answer.body)
         work.listeners.clear()
         if drawn and self.queues.count:
             self._pump()  # its place is free
@@ -621,7 +623,7 @@
             return
         session.told = (state, able)
         kinds = [c.kind for i, c in enumerate(self.core.settings.classes) if able >> i & 1 and c.kind >= 0]
-        entry = Listed(session.name, session.name, state, kind=kinds[0] if kinds else 0,
+        entry = ListedDestination(session.name, session.name, state, kind=kinds[0] if kinds else 0,
                        zone=self.core.settings.zone, able=able)
         await self.core.post(partial(self.core.listed, SOURCE, ListKind.CHANGES, [entry]))
         await self.core.post(self._pump)
@@ -644,13 +646,13 @@
         await self._end_excepted(session)
         while session.queue and (why := self.core.may_end(session.queue[0][3])) is not None:
             call = heappop(session.queue)[3]  # fenced, or nobody waits for it: nothing of it was written
-            call.over = True
+            call.finished = True
             await self.core.post(partial(self.core.ended, call, Outcome(why)))
         if not session.queue:
             session.send(NO_JOB)
             return
         _, _, handle, call = heappop(session.queue)
-        work = call.job.front if isinstance(call.job.front, Work) else None
+        work = call.job.front_context if isinstance(call.job.front_context, Work) else None
         function = self._function_for(session, work, call.job.class_index)
         limit = session.abilities.get(function, 0.0)
         until = self.core.clock.now() + limit * 1000.0 if limit > 0 else 1e18
@@ -684,7 +686,7 @@
         call = assigned.call
         if call is None:
             return
-        if kind == WORK_DATA and not isinstance(call.job.front, Work):
+        if kind == WORK_DATA and not isinstance(call.job.front_context, Work):
             if len(assigned.parts) + len(arguments[1]) > DATA_MOST:
                 raise PacketError("too_large", "partial results too large")
             assigned.parts += arguments[1]
@@ -707,9 +709,9 @@
 
     async def _end(self, session: Session, handle: bytes, outcome: Outcome) -> None:
         call = session.assigned.pop(handle).call
-        if call is None or call.over:
+        if call is None or call.finished:
             return
-        call.over = True
+        call.finished = True
         took = self.core.clock.now() - call.sent_at
         session.latency_ms += (took - session.latency_ms) * (0.2 if session.latency_ms else 1.0)
         outcome.report = self._report(session)
@@ -731,7 +733,7 @@
             return Outcome(Status.CONNECT_FAILED)
         if len(session.queue) >= QUEUE_MOST:
             return Outcome(Status.FULL, report=self._report(session))
-        work = call.job.front if isinstance(call.job.front, Work) else None
+        work = call.job.front_context if isinstance(call.job.front_context, Work) else None
         self._serial += 1
         handle = work.handle if work is not None else self._prefix + b"%d" % self._serial
         heappush(session.queue, (work.priority if work is not None else 1, self._serial, handle, call))
@@ -741,17 +743,17 @@
     def cancel(self, call: Call) -> Outcome | None:
         """Call off: a queued call is taken back; a grabbed one is abandoned or its session ended."""
         session = self._workers.get(call.destination.listed.name)
-        if session is None or call.over:
+        if session is None or call.finished:
             return None  # its outcome is on the way
         queued = [q for q in session.queue if q[3] is not call]
         if len(queued) < len(session.queue):
             session.queue = queued
             heapify(session.queue)
-            call.over = True
+            call.finished = True
             return Outcome(Status.CANCELLED)
         for assigned in session.assigned.values():
             if assigned.call is call:
-                call.over = True
+                call.finished = True
                 assigned.call = None
                 if not call.job.answered:
                     # The request goes on elsewhere: no attempt may be out on an open connection then.
@@ -783,13 +785,13 @@
     return "state/jobs/" + hashlib.blake2b(b"\0".join(key), digest_size=16).hexdigest()
 
 
-def _tell_end(session: Session, handle: bytes, ending: Ending, body: bytes | None) -> None:
-    if ending is Ending.SERVED and body is not None:
+def _tell_end(session: Session, handle: bytes, ending: FinalStatus, body: bytes | None) -> None:
+    if ending is FinalStatus.SERVED and body is not None:
         session.send(WORK_COMPLETE, handle, body)
         return
     if session.exceptions:
-        why = "refused; it did not run" if ending is Ending.REFUSED else "failed; it may have run"
-        if ending is Ending.SERVED:
+        why = "refused; it did not run" if ending is FinalStatus.REFUSED else "failed; it may have run"
+        if ending is FinalStatus.SERVED:
             why = "served; the result is kept no longer"
         session.send(WORK_EXCEPTION, handle, why.encode())
     session.send(WORK_FAIL, handle)
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -76,7 +76,7 @@
     async def run(self) -> Outcome:
         """Write the request and read its answer.  Whatever raises: the request is owed an end."""
         try:
-            async with asyncio.timeout((self.call.ends - self.core.clock.now()) / 1000.0):
+            async with asyncio.timeout((self.call.deadline - self.core.clock.now()) / 1000.0):
                 connection = await self._write()
                 await self._read(connection)
         except TimeoutError:
@@ -130,7 +130,7 @@
             connection = self._connection = await self.pool.take(self._needs_fresh_connection)
             self._kept = connection.used
             _stop_if(self.core.may_go_on(self.call))
-            self.call.begun_at = self.core.clock.now()
+            self.call.first_byte_at = self.core.clock.now()
             last = await self._begin(connection)
             if last is None or self._head_has_aged():
                 self._drop()
@@ -141,11 +141,11 @@
     async def _begin(self, connection: Connection) -> bytes | None:
         """Write all but the last byte, which is given back; None if a kept connection had ended."""
         job = self.call.job
-        left_ms = max(1, int(self.call.ends - self.call.begun_at - self._told_less_ms))
+        left_ms = max(1, int(self.call.deadline - self.call.first_byte_at - self._told_less_ms))
         headers = [(b"Host", self._service), (b"X-Request-ID", job.ident.encode()),
                    (b"X-Timeout", b"%dm" % left_ms),
                    (b"X-Priority-Class", self.core.class_names[job.class_index].encode()),
-                   (b"Content-Length", b"%d" % len(job.body)), *job.passed]
+                   (b"Content-Length", b"%d" % len(job.body)), *job.forwarded_headers]
         try:
             return await connection.begin(job.method, job.target, headers, job.body)
         except h11.LocalProtocolError as error:
@@ -177,7 +177,7 @@
         Guards against a worker that takes a body late, and against a process that is held up before this and again
         before its last byte: the slack of what is told covers one hold-up.
         """
-        took_ms = self.core.clock.now() - self.call.begun_at
+        took_ms = self.core.clock.now() - self.call.first_byte_at
         if took_ms <= self._told_less_ms:
             return False
         self._counters.add("calls.told_late")
--- a/gaphub/net/http/handler.py
+++ b/gaphub/net/http/handler.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ...core import Core
-from ...messages import Answer, Ending, Fence, Job
+from ...messages import Answer, Fence, FinalStatus, Job
 from ...metrics import Counters
 from ..timeouts import timeout_after_poll
 from . import tunables
@@ -24,7 +24,7 @@
 from .request import BadRequestError, check_head, parse_job
 from .session import ClientSession
 
-_ANSWERS = {Ending.SERVED: 200, Ending.REFUSED: 503, Ending.FAILED: 502}
+_ANSWERS = {FinalStatus.SERVED: 200, FinalStatus.REFUSED: 503, FinalStatus.FAILED: 502}
 
 
 class RequestHandler:
@@ -197,13 +197,13 @@
             if session.left():  # sent ahead behind another request, and gone since
                 self.counters.add("requests.left_before")
                 raise ConnectionResetError("client gone")
-            job.fence, job.left = self.fence, session.left
+            job.fence, job.client_left_at = self.fence, session.left
             self.open_ids.add(job.ident)
             try:
                 if not self.core.may_write(job):
                     # Asked here, when it is taken, and in the core again: after a freeze the clock knows.
                     self.counters.add("requests.fenced")
-                    future.set_result(self.core.turn_away(job, job.fence.return_ms if job.fence else 0.0))
+                    future.set_result(self.core.turn_away(job, job.fence.retry_after_ms if job.fence else 0.0))
                 elif not self.drain.may_begin(job, self.core.settings.classes[job.class_index]):
                     future.set_result(self.core.turn_away(job, tunables.LEAVE_RETURN_MS))
                 elif not self.core.offer(job):
@@ -214,9 +214,9 @@
             if answer is None:
                 raise ConnectionResetError("client gone")
             extra = []
-            if answer.ending is Ending.REFUSED and answer.retry_after_ms > 0:
+            if answer.final_status is FinalStatus.REFUSED and answer.retry_after_ms > 0:
                 extra = [("Retry-After", f"{answer.retry_after_ms / 1000.0:.3f}")]
-            await self._write(http, session, _ANSWERS[answer.ending], answer.body, extra, session.flooded)
+            await self._write(http, session, _ANSWERS[answer.final_status], answer.body, extra, session.flooded)
 
     async def _wait(self, job: Job, future: asyncio.Future[Answer], http: h11.Connection,
                     session: ClientSession) -> Answer | None:
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -72,22 +72,22 @@
     def cancel(self, call: Call) -> Outcome | None:
         """Stop waiting for a call; its outcome if it has not begun."""
         task = self._calls.get(id(call))
-        if task is None or call.over:
+        if task is None or call.finished:
             return None
         task.cancel()
-        if call.begun:
+        if call.task_started:
             return None
         # A task that is cancelled before its first step never runs its body, so nobody else would tell the
         # core of the end, and the request would stay open for ever.
         del self._calls[id(call)]
-        call.over = True
+        call.finished = True
         return Outcome(Status.CANCELLED)
 
     async def _call(self, call: Call, pool: Pool) -> None:
-        call.begun = True
+        call.task_started = True
         exchange = Exchange(call, pool, self.core, self.counters, self._answers, self._stale, self.service)
         outcome = await exchange.run()
-        call.over = True  # from here on nothing may call it off: its outcome is on the way
+        call.finished = True  # from here on nothing may call it off: its outcome is on the way
         del self._calls[id(call)]
         await self.core.post(lambda: self.core.ended(call, outcome))
         await exchange.close()
--- a/gaphub/net/http/request.py
+++ b/gaphub/net/http/request.py
@@ -76,7 +76,7 @@
     return Job(ident.decode(), class_index, received_at, left_ms - tunables.TRAVEL_MS, reply, body,
                event.method.decode(), event.target.decode(), parse_key(headers.get(b"cookie", b"")),
                extras["slots"] or 1.0, extras["memory"], headers.get(b"x-retried") == b"1",
-               passed=passed_on(event))
+               forwarded_headers=passed_on(event))
 
 
 def passed_on(event: h11.Request) -> tuple[tuple[bytes, bytes], ...]:
--- a/gaphub/service.py
+++ b/gaphub/service.py
@@ -25,7 +25,7 @@
     """The right to serve the service address: the lease, asked by the clock each time."""
 
     def __init__(self, return_ms: float, holds: Callable[[], bool]) -> None:
-        self.return_ms = return_ms
+        self.retry_after_ms = return_ms
         self.holds = holds
 
 
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -228,7 +228,7 @@
 class _Fence:
     """Holds for so many askings."""
 
-    return_ms = 50.0
+    retry_after_ms = 50.0
 
     def __init__(self, asked: int) -> None:
         self.left = asked
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,7 @@
 from gaphub.core import Core
 from gaphub.interface import ClassSettings, Effect, Group, ListKind, Settings, Status, TenantSettings, WorkerState
 from gaphub.logic import Balancer
-from gaphub.messages import Answer, Call, Destination, Ending, Job, Listed, Outcome
+from gaphub.messages import Answer, Call, Destination, FinalStatus, Job, ListedDestination, Outcome
 from gaphub.metrics import Counters
 from gaphub.tasks import Tasks
 
@@ -59,7 +59,7 @@
         self.name("w1", "w2", "w3", "w4", "w5", "w6")
 
     def name(self, *names: str, state: int = WorkerState.READY) -> None:
-        self.core.listed("test", ListKind.CHANGES, [Listed(n, "", state) for n in names])
+        self.core.listed("test", ListKind.CHANGES, [ListedDestination(n, "", state) for n in names])
 
     def job(self, cls: int = 0, left_ms: float = 4000.0,
             reply: Callable[[Answer], None] | None = None) -> Job:
@@ -73,8 +73,8 @@
         await asyncio.sleep(0.01)
 
     @property
-    def endings(self) -> list[Ending]:
-        return [a.ending for a in self.answers]
+    def endings(self) -> list[FinalStatus]:
+        return [a.final_status for a in self.answers]
 
 
 def core_test(test: Callable[[World, Any], Awaitable[None]]) -> Callable[[pytest.MonkeyPatch], None]:
@@ -100,13 +100,13 @@
     patch.setattr(Balancer, "on_request", lambda *a: 1 / 0)
     w.job(1)
     await asyncio.sleep(0.02)
-    assert w.endings == [Ending.REFUSED]  # nothing was sent, so trying again is harmless
+    assert w.endings == [FinalStatus.REFUSED]  # nothing was sent, so trying again is harmless
     patch.undo()
     w.job(1)
     await asyncio.sleep(0.02)
     patch.setattr(Balancer, "on_outcome", lambda *a: 1 / 0)
     await w.end(Status.RESET)
-    assert w.endings[1:] == [Ending.FAILED]
+    assert w.endings[1:] == [FinalStatus.FAILED]
     assert w.core.open_jobs == 0
 
 
@@ -115,12 +115,12 @@
     patch.setattr(Balancer, "on_request", lambda *a: None)
     w.job(1, left_ms=60.0)
     await asyncio.sleep(0.12)
-    assert w.endings == [Ending.REFUSED]
+    assert w.endings == [FinalStatus.REFUSED]
     patch.undo()
     patch.setattr(Balancer, "on_timer", lambda *a: None)
     w.job(1, left_ms=60.0)
     await asyncio.sleep(0.12)
-    assert w.endings[1:] == [Ending.FAILED] and w.port.cancelled
+    assert w.endings[1:] == [FinalStatus.FAILED] and w.port.cancelled
 
 
 @core_test
@@ -128,7 +128,7 @@
     w.port.broken = True
     w.job(1)
     await asyncio.sleep(0.05)
-    assert w.endings == [Ending.REFUSED]
+    assert w.endings == [FinalStatus.REFUSED]
     assert len(w.port.calls) <= 6  # workers; the settings would give more attempts
 
 
@@ -144,14 +144,14 @@
             await w.end(Status.RESET)
         assert len(w.port.calls) == most
         assert len({c.destination.number for c in w.port.calls}) == most
-        assert w.endings == [Ending.REFUSED]
+        assert w.endings == [FinalStatus.REFUSED]
         w.core.balancer.set = replace(SETTINGS, max_attempts=99)  # a Balancer that asks for more
         w.answers.clear()
         w.job(0)
         await asyncio.sleep(0.01)
         for _ in range(8):
             await w.end(Status.RESET)
-        assert len(w.port.calls) == 2 * most and w.endings == [Ending.REFUSED]
+        assert len(w.port.calls) == 2 * most and w.endings == [FinalStatus.REFUSED]
 
     test(monkeypatch)
 
@@ -185,10 +185,10 @@
     assert w.port.calls[-1].index == 4 and job.open_calls == 2
     await w.end(Status.OK, b"x")
     assert told == [(2, Status.MOOT), (3, Status.MOOT), (1, Status.FULL), (4, Status.OK)]
-    assert w.endings == [Ending.SERVED] and w.core.open_jobs == 1  # the first has yet to end
+    assert w.endings == [FinalStatus.SERVED] and w.core.open_jobs == 1  # the first has yet to end
     await w.core.post(lambda: w.core.ended(w.port.calls[0], Outcome(Status.OK, b"y")))
     await asyncio.sleep(0.01)
-    assert w.endings == [Ending.SERVED] and w.core.open_jobs == 0  # two that are served: one answer
+    assert w.endings == [FinalStatus.SERVED] and w.core.open_jobs == 0  # two that are served: one answer
 
 
 KEYED = ClassSettings(500.0, 5000.0, effect=Effect.KEYED, window_ms=1000.0)
@@ -201,8 +201,8 @@
     async def test(w: World, patch: Any) -> None:
         w.core.settings = replace(SETTINGS, classes=(replace(KEYED, group=group),))
         w.core.listed("test", ListKind.FULL, [
-            Listed("a", "", 1, zone=0, cell=1), Listed("b", "", 1, zone=0, cell=2),
-            Listed("c", "", 1, zone=1, cell=1)])
+            ListedDestination("a", "", 1, zone=0, cell=1), ListedDestination("b", "", 1, zone=0, cell=2),
+            ListedDestination("c", "", 1, zone=1, cell=1)])
         numbers = {d.listed.name: n for n, d in w.core.destinations.by_number.items()}
         patch.setattr(Balancer, "on_request", lambda b, now, r: b.act.send(r.id, numbers["a"], 0.0))
         patch.setattr(Balancer, "on_outcome", lambda *more: None)
@@ -234,7 +234,7 @@
     w.core.send(job.number, other, 0.0)
     assert len(w.port.calls) == 1  # it may have run
     w.core.refuse(job.number, 0.0)
-    assert w.endings == [Ending.FAILED]  # a refusal would be untrue
+    assert w.endings == [FinalStatus.FAILED]  # a refusal would be untrue
 
 
 @core_test
@@ -251,8 +251,8 @@
 @core_test
 async def test_a_whole_list_of_one_source_keeps_the_other_sources_workers(w: World, patch: Any) -> None:
     w.core.ports["other"] = w.port
-    w.core.listed("other", ListKind.FULL, [Listed("x1", "", WorkerState.READY)])
-    w.core.listed("test", ListKind.FULL, [Listed("w9", "", WorkerState.READY)])
+    w.core.listed("other", ListKind.FULL, [ListedDestination("x1", "", WorkerState.READY)])
+    w.core.listed("test", ListKind.FULL, [ListedDestination("w9", "", WorkerState.READY)])
     assert {d.listed.name for d in w.core.destinations.by_number.values()} == {"x1", "w9"}
     assert len(w.core.balancer.fleet.ready) == 2
     w.core.listed("other", ListKind.FULL, [])
@@ -264,7 +264,7 @@
     # Numbers by order of listing gave a key another home at each gateway, to be fetched at each.
     cores = [World().core for _ in range(2)]
     for core, names in zip(cores, (["a", "b", "c"], ["c", "x", "b", "a"]), strict=True):
-        core.listed("test", ListKind.FULL, [Listed(n, "", WorkerState.READY) for n in names])
+        core.listed("test", ListKind.FULL, [ListedDestination(n, "", WorkerState.READY) for n in names])
     one, two = ({d.listed.name: n for n, d in c.destinations.by_number.items()} for c in cores)
     assert {n: two[n] for n in one} == one and len(set(two.values())) == 4
 
@@ -296,7 +296,7 @@
     w.job(0)
     await asyncio.sleep(0.01)
     await w.end(Status.OK, b"x")
-    assert w.endings == [Ending.SERVED]
+    assert w.endings == [FinalStatus.SERVED]
 
 
 @core_test
@@ -330,7 +330,7 @@
     tenants = (TenantSettings(quota_per_s=0.001, share=0.5), TenantSettings(quota_per_s=100.0, share=0.5))
     core = Core(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), 5, Clock(), Counters())
     core.ports["test"] = Port()
-    core.listed("test", ListKind.CHANGES, [Listed("w1", "", WorkerState.READY)])
+    core.listed("test", ListKind.CHANGES, [ListedDestination("w1", "", WorkerState.READY)])
     for i in range(200):
         core._take(Job(f"r{i}", 0, core.clock.now(), 4000.0, lambda answer: None))
     assert core.balancer.jobs
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,7 +13,7 @@
 from gaphub.clock import Clock
 from gaphub.core import Core
 from gaphub.interface import ClassSettings, ListKind, Settings, WorkerState
-from gaphub.messages import Listed
+from gaphub.messages import ListedDestination
 from gaphub.metrics import Counters
 from gaphub.net.destinations import AGAIN_S, BUSY_S, QUICK
 
@@ -62,15 +62,17 @@
 
 
 STATES = st.sampled_from([WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE])
-ENTRIES = st.lists(st.builds(Listed, st.sampled_from("abcd"), st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
-                             STATES, started_ms=st.sampled_from([0.0, 5.0])), max_size=6)
+ENTRIES = st.lists(st.builds(ListedDestination, st.sampled_from("abcd"),
+                             st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]), STATES,
+                             started_ms=st.sampled_from([0.0, 5.0])), max_size=6)
 
 
 KINDS = st.sampled_from([ListKind.FULL, ListKind.CHANGES, ListKind.CACHED])
 
 
 @given(st.lists(st.tuples(KINDS, ENTRIES), max_size=8))
-def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(told: list[tuple[int, list[Listed]]]) -> None:
+def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(
+        told: list[tuple[int, list[ListedDestination]]]) -> None:
     """Whatever is named twice, vanishes or comes back: what may be sent to is what the list has said last."""
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
     core.ports = {"discovery": Port()}
@@ -88,7 +90,7 @@
 def test_a_list_of_thousands_is_followed_and_let_go_again() -> None:
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
     core.ports = {"discovery": Port()}
-    many = [Listed(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
+    many = [ListedDestination(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
     core.listed("discovery", ListKind.FULL, many)
     assert len(core.balancer.fleet.ready) == 5000
     core.listed("discovery", ListKind.FULL, [])
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -19,7 +19,7 @@
 
 from gaphub.core import Core
 from gaphub.lab.world import Agent, Workers
-from gaphub.messages import Answer, Ending, Job
+from gaphub.messages import Answer, FinalStatus, Job
 from gaphub.net.http import BODY_MOST, ClientSession, RequestHandler
 from gaphub.net.http.tunables import AHEAD_MOST
 
@@ -157,7 +157,7 @@
         kept.append(ahead)
 
     def answer_at_once(self: Core, job: Job) -> bool:
-        job.reply(Answer(Ending.REFUSED))
+        job.reply(Answer(FinalStatus.REFUSED))
         return True
 
     monkeypatch.setattr(RequestHandler, "_account_for", noted)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -314,11 +314,12 @@
     from gaphub.core import Core
     from gaphub.interface import ListKind, WorkerState
     from gaphub.lab.site import SETTINGS
-    from gaphub.messages import Listed
+    from gaphub.messages import ListedDestination
     from gaphub.metrics import Counters
 
     core = Core(read_settings({**SETTINGS, "me": 0, "balancers": 1}), 1, Clock(), Counters())
-    core.listed("discovery", ListKind.FULL, [Listed(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
+    core.listed("discovery", ListKind.FULL,
+                [ListedDestination(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
     while not core._box.empty():
         core._box.get_nowait()()
     assert set(core.balancer.fleet.workers) == {worker_number(i) for i in range(30)}
