--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -54,7 +54,7 @@
     return {f.name: getattr(settings, f.name) for f in fields(settings) if f.name not in (*TAKEN, "classes")}
 
 
-class Reload:
+class ConfigReloader:
     """The one owner of the configuration in force; reads it again each time it is asked to.
 
     A faulty file changes nothing.  What cannot change while requests are open is named in the log and
@@ -65,15 +65,15 @@
         self.config = config
         self._read = read
         self._counters = counters
-        self.asked = asyncio.Event()
-        self.also: list[Callable[[], None]] = []  # what else is read again
+        self.requested = asyncio.Event()
+        self.also_reload: list[Callable[[], None]] = []  # what else is read again
 
     async def run(self, destinations: DestinationSet, core: Core) -> None:
         """Read the configuration whenever asked; requests to do so that come together are one."""
         while True:
-            await self.asked.wait()
-            self.asked.clear()
-            for work in self.also:
+            await self.requested.wait()
+            self.requested.clear()
+            for work in self.also_reload:
                 work()
             try:
                 new = self._read()
@@ -84,7 +84,7 @@
                 continue
             self._counters.add("reloads.done")
             core.figures.reload_success += 1
-            core.retune(new.settings, new.class_names, keep_rows=bool(new.fronts.gearman.listen))
+            core.apply_settings(new.settings, new.class_names, keep_rows=bool(new.fronts.gearman.listen))
             waiting = [key for key in STARTING if getattr(new, key) != getattr(self.config, key)]
             if _structure(new.settings) != _structure(self.config.settings):
                 waiting.append("settings")
@@ -119,24 +119,24 @@
         if not core.outs.say(core.clock.now(), worker, out):
             return 507
         shelf.put()
-        core.moved_by_hand([worker])
+        core.apply_operator_changes([worker])
         return 200
 
     began = core.clock.now()
 
     def ready() -> bool:
-        late = core.clock.now() - began > UNTOLD_MS and core.targets()[0] > 0
+        late = core.clock.now() - began > UNTOLD_MS and core.count_targets()[0] > 0
         return inbound.handler.ready and (destinations.told or late)
 
     return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
-               lambda: core.figures.show(core.concurrent, *core.targets()), move)
+               lambda: core.figures.show(core.unanswered_jobs, *core.count_targets()), move)
 
 
-async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: Reload) -> None:
+async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: ConfigReloader) -> None:
     """Serve until ``stop``, then answer all that was taken."""
     core = Core(config.settings, config.seed, Clock(), counters, config.class_names, config.name)
     if config.fronts.log.requests:
-        core.trace = partial(counters.line, "request")
+        core.log_request = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front take their descriptors from the clients' part.
     part = 1.0 - gearman.SESSIONS_PART / INBOUND_PART if config.fronts.gearman.listen else 1.0
@@ -152,8 +152,8 @@
         from .service import ServiceAddress  # only here: the platform, where it is off, pays nothing
 
         address = ServiceAddress(config, core, counters)
-        address.took_over = gearmen.took_over
-        address.gave_up = gearmen.refuse_waiting if config.fronts.address.gearman else address.gave_up
+        address.on_lease_gained = gearmen.took_over
+        address.on_lease_lost = gearmen.refuse_waiting if config.fronts.address.gearman else address.on_lease_lost
         gearmen.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
             # The clients' part of the sockets is shared by the two listeners.
@@ -167,7 +167,8 @@
         **({"gearman": gearmen.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
-    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.outs, counters, core.moved_by_hand)
+    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.outs, counters,
+                  core.apply_operator_changes)
     shelf.look()  # before any list: who is out is not sent to for a moment
     ops = None if config.admin is None else ops_for(config.admin, config, core, counters, shelf, inbound,
                                                           destinations)
@@ -175,7 +176,7 @@
     core.list_port = destinations
     core.peer_port = peers
     destinations.start_from_known()
-    if core.inherit(shelf.legacy()):
+    if core.import_state(shelf.legacy()):
         counters.add("ops.inherited")
     actors = Tasks(counters)
     try:
@@ -186,13 +187,13 @@
         if ops is not None:
             await ops.open()
             actors.start(shelf.run())
-            actors.start(shelf.leave(core.legacy))
+            actors.start(shelf.leave(core.export_state))
         if address is not None:
             await address.open()
-            reload.also.append(address.node.reload_keys)
+            reload.also_reload.append(address.node.reload_keys)
         if moving is not None:
             await moving.open()
-        reload.also.append(gearmen.reload_tls)
+        reload.also_reload.append(gearmen.reload_tls)
         for work in (core.run(), outbound.run(), destinations.run(), gearmen.run(), sinks.run_graphite(),
                      sinks.run_collectd(), sinks.run_log(), reload.run(destinations, core)):
             actors.start(work)
@@ -208,7 +209,7 @@
             await peers.close()  # the kernel gives datagrams to one of two sockets: they are the successor's now
         leaves = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
         if address is not None:
-            leaves.append(address.leave())
+            leaves.append(address.hand_over())
         if moving is not None:
             leaves.append(moving.leave(lambda: True))
         await asyncio.gather(*leaves)
@@ -234,18 +235,18 @@
     counters, stop = Counters(), asyncio.Event()
     log = config.fronts.log
     if log.form != "plain":
-        from .logs import make  # structlog: only where it is wanted
+        from .logs import make_line_writer  # structlog: only where it is wanted
 
-        counters.line = make(log.form, log.level, config.name)
-    reload = Reload(config, lambda: load(os.environ, again=True), counters)
-    for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.asked)):
+        counters.line = make_line_writer(log.form, log.level, config.name)
+    reload = ConfigReloader(config, lambda: load(os.environ, again=True), counters)
+    for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.requested)):
         asyncio.get_running_loop().add_signal_handler(number, asked.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     await serve(config, counters, stop, reload)
     held_back()  # from here on nobody hears it again: it must not end in another way what ends well
 
 
-def serve_or_say() -> int:
+def run_service() -> int:
     """Run; 2 if the configuration cannot be used."""
     try:
         held_back()
@@ -266,7 +267,7 @@
         from .cli import gaphub
 
         gaphub(prog_name="gaphub")
-    return serve_or_say()
+    return run_service()
 
 
 if __name__ == "__main__":
--- a/gaphub/cli.py
+++ b/gaphub/cli.py
@@ -30,9 +30,9 @@
 @gaphub.command()
 def run() -> None:
     """Serve; reads LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_CONFIG and LB_FRONTS."""
-    from .__main__ import serve_or_say
+    from .__main__ import run_service
 
-    raise SystemExit(serve_or_say())
+    raise SystemExit(run_service())
 
 
 @gaphub.command()
@@ -168,9 +168,9 @@
         found = config.read_witness(file)
         counters = Counters()
         if found.log.form != "plain":
-            from .logs import make
+            from .logs import make_line_writer
 
-            counters.line = make(found.log.form, found.log.level, f"witness-{found.cluster.me}")
+            counters.line = make_line_writer(found.log.form, found.log.level, f"witness-{found.cluster.me}")
         asyncio.run(run_witness(found, counters))
     except (config.ConfigError, KeyRingError) as error:
         click.echo(f"gaphub: configuration: {error}", err=True)
--- a/gaphub/clock.py
+++ b/gaphub/clock.py
@@ -13,12 +13,13 @@
     """Milliseconds that never go back and agree with Unix time as it was at the start."""
 
     def __init__(self) -> None:
-        self.base = time.time() * 1000.0 - time.monotonic() * 1000.0  # what is added to the monotonic clock
+        # What is added to the monotonic clock.
+        self.unix_offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now(self) -> float:
         """The time now."""
-        return self.base + time.monotonic() * 1000.0
+        return self.unix_offset_ms + time.monotonic() * 1000.0
 
-    def stepped_ms(self) -> float:
+    def wall_clock_step_ms(self) -> float:
         """By how much the wall clock is ahead of this one: what it was stepped since the start; ms."""
         return time.time() * 1000.0 - self.now()
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -57,7 +57,7 @@
                  class_names: Sequence[str] = (), name: str = "") -> None:
         """``class_names``: as figures name the classes of the settings; ``name``: the scheduler's."""
         self.settings = settings
-        self.table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
+        self.class_table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
         self.figures = Figures()
         self.figures.know(self.class_names)
         self.outs = Outs(name)
@@ -67,7 +67,7 @@
         self.ports: dict[str, CallPort] = {}
         self.list_port: ListPort | None = None
         self.peer_port: PeerPort | None = None
-        self.trace: Callable[[str], None] | None = None  # takes a line on each request that is done with
+        self.log_request: Callable[[str], None] | None = None  # takes a line on each request that is done with
         self._box: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX)
         self._later: deque[Callable[[], None]] = deque()  # what actions owe the Balancer, after its call
         self._timers: list[tuple[float, int, int]] = []
@@ -86,21 +86,21 @@
 
     def offer(self, job: Job) -> bool:
         """Hand a request over; False if the mailbox or the request table is full (fail-fast)."""
-        if not self.may_take():
+        if not self.can_accept():
             self.counters.add("requests.fail_fast")
             return False
         self._box.put_nowait(lambda: self._take(job))
         return True
 
-    def may_take(self) -> bool:
+    def can_accept(self) -> bool:
         """Whether ``offer`` would take a request now."""
         return len(self._jobs) < self.settings.max_open and not self._box.full()
 
-    def able(self, class_index: int) -> int:
+    def count_eligible(self, class_index: int) -> int:
         """How many destinations may get jobs of a class now."""
-        return self.destinations.able(class_index)
+        return self.destinations.count_eligible(class_index)
 
-    def turn_away(self, job: Job, return_ms: float = 1e9) -> Answer:
+    def reject(self, job: Job, return_ms: float = 1e9) -> Answer:
         """A refusal at the door: the core never takes the job, but it is counted."""
         self.figures.ended(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(return_ms)
@@ -113,22 +113,23 @@
     @property
     def class_names(self) -> tuple[str, ...]:
         """The name of each class by its number, also of classes that are no more."""
-        return self.table.names
+        return self.class_table.names
 
-    def retune(self, settings: Settings, names: Sequence[str], keep_rows: bool = False) -> None:
+    def apply_settings(self, settings: Settings, names: Sequence[str], keep_rows: bool = False) -> None:
         """Follow new settings: open jobs keep the rules that they came under.
 
         ``keep_rows``: somebody else holds numbers of classes too, so that none may get another meaning.
         """
-        busy = set(range(len(self.table.rows))) if keep_rows else {j.class_index for j in self._jobs.values()}
-        self.table, fresh = follow(self.table, settings.classes, names, busy)
-        self.settings = settings_for(self.settings, settings, self.table)
+        busy = (set(range(len(self.class_table.rows))) if keep_rows
+                else {j.class_index for j in self._jobs.values()})
+        self.class_table, fresh = follow(self.class_table, settings.classes, names, busy)
+        self.settings = settings_for(self.settings, settings, self.class_table)
         self.figures.know(names)
         self.destinations.classes_changed()
         self.balancer.on_settings(self.settings, fresh)
 
     @property
-    def concurrent(self) -> int:
+    def unanswered_jobs(self) -> int:
         """Requests taken that still owe an answer."""
         return sum(not job.answered for job in self._jobs.values()) + self._box.qsize()
 
@@ -204,7 +205,7 @@
             self._answer(job, self.refusal())
             self._settle(job)
             return
-        if not self.may_write(job):
+        if not self.fence_holds(job):
             self._fence_off(job)
             return
         heappush(self._deadlines, (job.deadline - EARLY_MS, job.number))
@@ -216,7 +217,7 @@
         if not self._guard(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
             self._give_up(job)
 
-    def may_write(self, job: Job) -> bool:
+    def fence_holds(self, job: Job) -> bool:
         """Whether the job's right to be served holds now; ports ask again before the first and last byte."""
         return job.fence is None or job.fence.holds()
 
@@ -231,10 +232,10 @@
 
     def fence_lost(self) -> None:
         """A right to serve ended: refuse all that has nothing out; what is out is waited for."""
-        for job in [j for j in self._jobs.values() if not j.open_calls and not self.may_write(j)]:
+        for job in [j for j in self._jobs.values() if not j.open_calls and not self.fence_holds(j)]:
             self._fence_off(job)
 
-    def gone(self, job: Job) -> None:
+    def client_gone(self, job: Job) -> None:
         """The client left; nothing is owed any more."""
         if not job.answered:
             self.counters.add("requests.client_gone")
@@ -273,31 +274,31 @@
     def _settle(self, job: Job) -> None:
         if job.answered and not job.open_calls and job.number in self._jobs:
             del self._jobs[job.number]
-            if self.trace is not None:
-                self.trace(describe(job))
+            if self.log_request is not None:
+                self.log_request(describe(job))
 
     # -- calls --
 
-    def written(self, call: Call) -> None:
+    def call_written(self, call: Call) -> None:
         """A port wrote the last byte of a call."""
         self.figures.dispatched(self.class_names[call.job.class_index])
 
-    def news(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
+    def forward_update(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
         """News of a call for the front that took its request."""
         if call.status is None and not call.job.answered and call.job.on_update is not None:
             call.job.on_update(kind, data)
 
-    def started(self, call: Call) -> None:
+    def call_started(self, call: Call) -> None:
         """A worker began a call."""
         call.started_at = self.clock.now()
-        self.news(call, "started", ())
+        self.forward_update(call, "started", ())
         self.balancer.on_started(self.clock.now(), call.job.number, call.index)
 
-    def progressed(self, call: Call, share: float) -> None:
+    def call_progressed(self, call: Call, share: float) -> None:
         """A share of a call is done."""
         self.balancer.on_progress(self.clock.now(), call.job.number, call.index, share)
 
-    def ended(self, call: Call, outcome: Outcome) -> None:
+    def call_ended(self, call: Call, outcome: Outcome) -> None:
         """A call ended; the first that is served is the request's answer."""
         job = call.job
         if call.status is not None:
@@ -310,7 +311,7 @@
         call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
         if self._left(job):
-            self.gone(job)  # before the Balancer may choose a retry that nobody waits for
+            self.client_gone(job)  # before the Balancer may choose a retry that nobody waits for
         told = outcome.status
         if outcome.status == Status.OK:
             self._answer(job, Answer(FinalStatus.SERVED, outcome.body))
@@ -325,7 +326,7 @@
         if not job.answered and not job.open_calls:
             if not sound:
                 self._give_up(job)
-            elif not self.may_write(job):
+            elif not self.fence_holds(job):
                 self._fence_off(job)  # whatever the Balancer waits for: it may not be sent again
         self._settle(job)
 
@@ -346,7 +347,7 @@
     def _left(job: Job) -> bool:
         return job.client_left_at is not None and job.client_left_at() > 0.0
 
-    def may_go_on(self, call: Call) -> Status | None:
+    def check_before_first_byte(self, call: Call) -> Status | None:
         """Asked by a port before the first byte of a call: None if it may be written, else why not.
 
         Guards against what happens while a call waits for its connection: its worker drains, goes or is
@@ -356,11 +357,11 @@
         if listed.state != WorkerState.READY or (listed.addr, listed.started_ms) != (at.addr, at.started_ms):
             self.counters.add("calls.overtaken")
             return Status.FULL
-        return self.may_end(call)
+        return self.check_before_last_byte(call)
 
-    def may_end(self, call: Call) -> Status | None:
+    def check_before_last_byte(self, call: Call) -> Status | None:
         """Asked again before the last byte: a drain does not count any more, as the call has begun."""
-        if not self.may_write(call.job):
+        if not self.fence_holds(call.job):
             self.counters.add("calls.fenced")
             return Status.MOOT
         if call.job.answered or self._left(call.job) or not may_run_at(
@@ -377,7 +378,7 @@
         if job is None:
             return
         now = self.clock.now()
-        if not job.open_calls and not self.may_write(job):
+        if not job.open_calls and not self.fence_holds(job):
             self._later.append(partial(self._fence_off, job))
             return
         destination = self._allowed(job, worker, now)
@@ -389,7 +390,7 @@
             # told under the numbers of others.
             job.calls.append(call)
             if self._left(job):
-                self._later.append(partial(self.gone, job))  # its front has yet to say so
+                self._later.append(partial(self.client_gone, job))  # its front has yet to say so
             self._later.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
@@ -404,7 +405,7 @@
             self.counters.log("port_failed", repr(error))
             outcome = Outcome(Status.CONNECT_FAILED)
         if outcome is not None:
-            self._later.append(partial(self.ended, call, outcome))
+            self._later.append(partial(self.call_ended, call, outcome))
         elif ends < job.deadline:
             self._serial += 1
             heappush(self._call_ends, (ends, self._serial, call))
@@ -439,7 +440,7 @@
         if call.status is None:
             outcome = self.ports[call.destination.source].cancel(call)
             if outcome is not None:
-                self._later.append(partial(self.ended, call, outcome))
+                self._later.append(partial(self.call_ended, call, outcome))
 
     def set_timer(self, delay_ms: float, token: int) -> None:
         """Ask for a timer event."""
@@ -456,9 +457,9 @@
         self.counters.add("probes.sent")
         known = self.ports[destination.source].probe(destination)
         if known is not None:
-            self._later.append(partial(self.probed, destination, known[0], 0.0, known[1]))
+            self._later.append(partial(self.probe_ended, destination, known[0], 0.0, known[1]))
 
-    def probed(self, destination: Destination, status: Status, took_ms: float,
+    def probe_ended(self, destination: Destination, status: Status, took_ms: float,
                report: tuple[float, ...]) -> None:
         """A probe ended."""
         self.counters.add(f"probes.{status.name.lower()}")
@@ -490,19 +491,19 @@
 
     # -- the destination set and the peers --
 
-    def listed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> None:
+    def update_destinations(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> None:
         """A source named destinations; FULL and CACHED name all of that source's."""
         now = self.clock.now()
-        self.destinations.saw_clock(self.clock.stepped_ms())
-        told_kind, told = self.destinations.take(now, source, kind, entries)
+        self.destinations.observe_clock(self.clock.wall_clock_step_ms())
+        told_kind, told = self.destinations.update(now, source, kind, entries)
         self.counters.add("lists.taken")
         if kind != ListKind.CACHED:
-            self.heard_discovery()
+            self.discovery_answered()
         self.balancer.on_workers(now, told_kind, told)
 
-    def heard_discovery(self) -> None:
+    def discovery_answered(self) -> None:
         """Discovery answered, with news or without."""
-        self.destinations.heard_source(self.clock.now())
+        self.destinations.source_answered(self.clock.now())
 
     def _forget(self, destination: Destination) -> None:
         self.ports[destination.source].forget(destination)
@@ -511,27 +512,27 @@
         """Whether a source has named a destination, now or before."""
         return self.destinations.ever_listed(name)
 
-    def moved_by_hand(self, names: Iterable[str]) -> None:
+    def apply_operator_changes(self, names: Iterable[str]) -> None:
         """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
         now = self.clock.now()
-        told = self.destinations.moved_by_hand(now, names)
+        told = self.destinations.apply_operator_changes(now, names)
         self.balancer.on_workers(now, ListKind.CHANGES, told)
 
-    def legacy(self) -> bytes:
+    def export_state(self) -> bytes:
         """What a successor may go on from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
-        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.table.live), names,
-                     self.clock.base)
+        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.class_table.live), names,
+                     self.clock.unix_offset_ms)
 
-    def inherit(self, data: bytes) -> bool:
+    def import_state(self, data: bytes) -> bool:
         """Go on from what a process of this scheduler left; False if there is nothing to believe."""
-        page = read(data, self.outs.scheduler, self.clock.now(), self.clock.base)
+        page = read(data, self.outs.scheduler, self.clock.now(), self.clock.unix_offset_ms)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            take(self.balancer, page, dict(self.table.live), numbers)
+            take(self.balancer, page, dict(self.class_table.live), numbers)
         return page is not None
 
-    def targets(self) -> tuple[int, int]:
+    def count_targets(self) -> tuple[int, int]:
         """How many destinations are listed, and how many of them are out by hand or ruled out for now."""
         now = self.clock.now()
         known = self.balancer.fleet.workers
@@ -539,10 +540,10 @@
                       for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), avoided
 
-    def list_failed(self) -> None:
+    def discovery_failed(self) -> None:
         """A call to discovery failed."""
         self.balancer.on_workers(self.clock.now(), ListKind.FAILED, ())
 
-    def peer_said(self, sender: int, data: bytes) -> None:
+    def receive_peer_message(self, sender: int, data: bytes) -> None:
         """A datagram from a peer."""
         self.balancer.on_peer(self.clock.now(), sender, data)
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from .interface import ListedWorker, ListKind, WorkerState
-from .messages import Destination, ListedDestination, identity
+from .messages import Destination, ListedDestination, worker_identity
 from .ops.out import Outs
 from .start_times import StartTimes
 
@@ -35,7 +35,7 @@
         """A destination that is listed."""
         return self.by_number.get(number)
 
-    def able(self, class_index: int) -> int:
+    def count_eligible(self, class_index: int) -> int:
         """How many destinations may get jobs of a class now."""
         known = self._able.get(class_index)
         if known is None:
@@ -52,15 +52,15 @@
         """Whether a source has named a destination, now or before."""
         return name in self._ever
 
-    def saw_clock(self, ahead_ms: float) -> None:
+    def observe_clock(self, ahead_ms: float) -> None:
         """The wall clock is ahead of the monotonic one by so much now."""
         self._starts.saw_clock(ahead_ms)
 
-    def heard_source(self, now: float) -> None:
+    def source_answered(self, now: float) -> None:
         """Discovery answered, with news or without."""
         self._starts.heard(now)
 
-    def take(self, now: float, source: str, kind: int, entries: Sequence[ListedDestination]
+    def update(self, now: float, source: str, kind: int, entries: Sequence[ListedDestination]
              ) -> tuple[int, list[ListedWorker]]:
         """Follow what a source named; FULL and CACHED name all of that source's.
 
@@ -78,7 +78,7 @@
             told = [t for t in told if t.state != WorkerState.GONE]
         return kind, told
 
-    def moved_by_hand(self, now: float, names: Iterable[str]) -> list[ListedWorker]:
+    def apply_operator_changes(self, now: float, names: Iterable[str]) -> list[ListedWorker]:
         """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
         wanted = set(names)
         self._able.clear()
@@ -105,7 +105,7 @@
         number = self._number(source, entry.name)
         known = self.by_number.get(number)
         if known is None:
-            known = Destination(number, source, entry, identity=identity(source, entry.name))
+            known = Destination(number, source, entry, identity=worker_identity(source, entry.name))
             self.by_number[number] = known
         elif entry.state == WorkerState.GONE or (entry.addr, entry.started_ms) != (
                 known.listed.addr, known.listed.started_ms):
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -22,7 +22,7 @@
 from math import inf
 from typing import NamedTuple
 
-from ...messages import identity
+from ...messages import worker_identity
 from ...net.destinations import SOURCE
 from ...net.peers import BEAT, BEAT_S
 from ...occupancy.aggregator import Aggregator
@@ -135,7 +135,7 @@
         """``now``: ms, as in all that follows."""
         super().__init__(plan, now)
         real = range(len(plan.receivers))
-        names = [str(identity(SOURCE, worker_name(i))) for i in range(plan.workers)]
+        names = [str(worker_identity(SOURCE, worker_name(i))) for i in range(plan.workers)]
         self.shared = Shared(plan.schedulers, dict(zip(self.numbers, names, strict=True)))
         self.exchanges = [HollowExchange(now, len(real) + i, plan.schedulers, real, self.shared)
                           for i in range(len(plan.listen))]
--- a/gaphub/logs.py
+++ b/gaphub/logs.py
@@ -19,7 +19,7 @@
     return "warning" if any(word in kind for word in WARNINGS) else "info"
 
 
-def make(form: str, level: str, node: str, out: Any = None) -> Callable[[str, str], None]:
+def make_line_writer(form: str, level: str, node: str, out: Any = None) -> Callable[[str, str], None]:
     """What writes one line for an event and its text."""
     shape: Any = (structlog.processors.JSONRenderer() if form == "json" else
                   structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "node", "event"]))
--- a/gaphub/messages.py
+++ b/gaphub/messages.py
@@ -88,7 +88,7 @@
     able: int = -1  # the classes it can run, a bit for each; -1: any
 
 
-def identity(source: str, name: str) -> int:
+def worker_identity(source: str, name: str) -> int:
     """A worker's number that depends on its name alone: 64 bits, so that no two of a fleet share one."""
     return int.from_bytes(blake2b(f"{source}/{name}".encode(), digest_size=8).digest(), "big")
 
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -96,7 +96,7 @@
 
     def start_from_known(self) -> None:
         """Tell the core the list as this scheduler last held it."""
-        self.core.listed(SOURCE, ListKind.CACHED, self._entries(self.known))
+        self.core.update_destinations(SOURCE, ListKind.CACHED, self._entries(self.known))
 
     async def run(self) -> None:
         """Watch for ever; a failure is told, waited out and never ends the actor."""
@@ -121,7 +121,7 @@
                     self.counters.log("lists.failed", repr(error))
                     if self.core.settings.must_ask:
                         self.following = False  # the module asks again in its own time
-                        await self.core.post(self.core.list_failed)
+                        await self.core.post(self.core.discovery_failed)
                     if not isinstance(error, TimeoutError):  # else a wait is over already: watch on at once
                         await self._unless_moved(asyncio.sleep(pause))
                         pause = min(self._longest_pause_s(), pause * 2)
@@ -204,9 +204,9 @@
         self._whole = self._whole and not whole
         if entries or found.full:
             kind = ListKind.FULL if found.full else ListKind.CHANGES
-            await self.core.post(lambda: self.core.listed(SOURCE, kind, entries))
+            await self.core.post(lambda: self.core.update_destinations(SOURCE, kind, entries))
         else:
-            await self.core.post(self.core.heard_discovery)
+            await self.core.post(self.core.discovery_answered)
         return bool(entries or found.full)
 
     def _entries(self, found: DestinationList) -> list[ListedDestination]:
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -310,14 +310,14 @@
                 continue
             self._out[work.job.class_index] -= 1
             self._starts(work)
-            await self.core.post(partial(self.core.gone, work.job))
+            await self.core.post(partial(self.core.client_gone, work.job))
         session.waits_for.clear()
         if session.told is not None:
             self._workers.pop(session.name, None)
             await self._tell(session, WorkerState.GONE, 0)
         queued, session.queue = session.queue, []
         for _, _, _, call in queued:
-            await self.core.post(partial(self.core.ended, call, Outcome(Status.CONNECT_FAILED)))
+            await self.core.post(partial(self.core.call_ended, call, Outcome(Status.CONNECT_FAILED)))
         for handle in list(session.assigned):
             await self._end(session, handle, Outcome(Status.RESET))
 
@@ -461,8 +461,8 @@
             waiting.item.waiting = None
             self._refused(waiting.item)
         for class_index, out in enumerate(self._out):
-            room = self.set.per_worker * self.core.able(class_index) - out
-            while room > 0 and self.core.may_take() and (next_ := self.queues.draw(class_index)) is not None:
+            room = self.set.per_worker * self.core.count_eligible(class_index) - out
+            while room > 0 and self.core.can_accept() and (next_ := self.queues.draw(class_index)) is not None:
                 room -= 1
                 self._offer(next_.item, now)
 
@@ -616,7 +616,7 @@
         session.queue = kept
         heapify(session.queue)
         for _, _, _, call in dropped:  # it can do them no longer: they never ran
-            await self.core.post(partial(self.core.ended, call, Outcome(Status.FULL)))
+            await self.core.post(partial(self.core.call_ended, call, Outcome(Status.FULL)))
 
     async def _tell(self, session: Session, state: WorkerState, able: int) -> None:
         if session.told == (state, able) or (session.told is None and state != WorkerState.READY):
@@ -625,7 +625,7 @@
         kinds = [c.kind for i, c in enumerate(self.core.settings.classes) if able >> i & 1 and c.kind >= 0]
         entry = ListedDestination(session.name, session.name, state, kind=kinds[0] if kinds else 0,
                        zone=self.core.settings.zone, able=able)
-        await self.core.post(partial(self.core.listed, SOURCE, ListKind.CHANGES, [entry]))
+        await self.core.post(partial(self.core.update_destinations, SOURCE, ListKind.CHANGES, [entry]))
         await self.core.post(self._pump)
 
     def _wake(self, session: Session) -> None:
@@ -644,10 +644,10 @@
     async def _grab(self, session: Session, kind: int) -> None:
         session.asleep = False
         await self._end_excepted(session)
-        while session.queue and (why := self.core.may_end(session.queue[0][3])) is not None:
+        while session.queue and (why := self.core.check_before_last_byte(session.queue[0][3])) is not None:
             call = heappop(session.queue)[3]  # fenced, or nobody waits for it: nothing of it was written
             call.finished = True
-            await self.core.post(partial(self.core.ended, call, Outcome(why)))
+            await self.core.post(partial(self.core.call_ended, call, Outcome(why)))
         if not session.queue:
             session.send(NO_JOB)
             return
@@ -658,7 +658,7 @@
         until = self.core.clock.now() + limit * 1000.0 if limit > 0 else 1e18
         session.assigned[handle] = Assigned(call, until)
         call.written = True
-        self.core.written(call)
+        self.core.call_written(call)
         self.counters.add("gearman.assigned")
         head = [handle, function]
         if kind != GRAB_JOB:
@@ -667,7 +667,7 @@
             head.append(work.reducer if work is not None else b"")
         assign = {GRAB_JOB: JOB_ASSIGN, GRAB_JOB_UNIQ: JOB_ASSIGN_UNIQ, GRAB_JOB_ALL: JOB_ASSIGN_ALL}[kind]
         session.send(assign, *head, call.job.body)
-        await self.core.post(partial(self.core.started, call))
+        await self.core.post(partial(self.core.call_started, call))
 
     def _function_for(self, session: Session, work: Work | None, class_index: int) -> bytes:
         """The name under which this worker knows the class; the client's own where it can."""
@@ -694,8 +694,8 @@
         if kind == WORK_STATUS:
             with suppress(ValueError, ZeroDivisionError):
                 share = float(arguments[1]) / float(arguments[2])
-                await self.core.post(partial(self.core.progressed, call, min(1.0, max(0.0, share))))
-        await self.core.post(partial(self.core.news, call, NEWS[kind], tuple(arguments[1:])))
+                await self.core.post(partial(self.core.call_progressed, call, min(1.0, max(0.0, share))))
+        await self.core.post(partial(self.core.forward_update, call, NEWS[kind], tuple(arguments[1:])))
 
     async def _finish(self, session: Session, kind: int, arguments: list[bytes]) -> None:
         if arguments[0] in session.excepted:
@@ -715,7 +715,7 @@
         took = self.core.clock.now() - call.sent_at
         session.latency_ms += (took - session.latency_ms) * (0.2 if session.latency_ms else 1.0)
         outcome.report = self._report(session)
-        await self.core.post(partial(self.core.ended, call, outcome))
+        await self.core.post(partial(self.core.call_ended, call, outcome))
 
     def _report(self, session: Session) -> tuple[float, ...]:
         """What a worker of the other wire would say of its load; it runs one job at a time."""
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -78,9 +78,9 @@
             if isinstance(line.load, dict):
                 report = parse_load(msgspec.json.encode(line.load), self.report_fields)
             if line.state == "started":
-                await self.core.post(lambda: self.core.started(call))
+                await self.core.post(lambda: self.core.call_started(call))
             elif line.state == "running":
-                await self.core.post(lambda share=line.share: self.core.progressed(call, share))  # type: ignore[misc]
+                await self.core.post(lambda share=line.share: self.core.call_progressed(call, share))  # type: ignore[misc]
             elif line.state == "done":
                 result = line.result
                 if result is msgspec.UNSET:
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -129,7 +129,7 @@
         while True:
             connection = self._connection = await self.pool.take(self._needs_fresh_connection)
             self._kept = connection.used
-            _stop_if(self.core.may_go_on(self.call))
+            _stop_if(self.core.check_before_first_byte(self.call))
             self.call.first_byte_at = self.core.clock.now()
             last = await self._begin(connection)
             if last is None or self._head_has_aged():
@@ -189,7 +189,7 @@
 
         Guards against a process frozen while a job was on its way: without its last byte none runs.
         """
-        _stop_if(self.core.may_end(self.call))
+        _stop_if(self.core.check_before_last_byte(self.call))
         self.call.written = True
         self.outcome.status = Status.RESET  # a deadline that passes from here on: it may have run
         try:
@@ -198,7 +198,7 @@
             self.call.written = False
             self.outcome.status = Status.CONNECT_FAILED
             raise
-        self.core.written(self.call)
+        self.core.call_written(self.call)
 
     # -- reading --
 
--- a/gaphub/net/http/handler.py
+++ b/gaphub/net/http/handler.py
@@ -190,7 +190,7 @@
             await self._write(http, session, 404 if event.method == b"GET" else 405, b"")
         else:
             future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            job = parse_job(event, body, self.core.table.live, received_at, lambda a: _settle(future, a))
+            job = parse_job(event, body, self.core.class_table.live, received_at, lambda a: _settle(future, a))
             if job.ident in self.open_ids:
                 raise BadRequestError(409, "the id of an open request")
             session.served = True
@@ -200,14 +200,14 @@
             job.fence, job.client_left_at = self.fence, session.left
             self.open_ids.add(job.ident)
             try:
-                if not self.core.may_write(job):
+                if not self.core.fence_holds(job):
                     # Asked here, when it is taken, and in the core again: after a freeze the clock knows.
                     self.counters.add("requests.fenced")
-                    future.set_result(self.core.turn_away(job, job.fence.retry_after_ms if job.fence else 0.0))
+                    future.set_result(self.core.reject(job, job.fence.retry_after_ms if job.fence else 0.0))
                 elif not self.drain.may_begin(job, self.core.settings.classes[job.class_index]):
-                    future.set_result(self.core.turn_away(job, tunables.LEAVE_RETURN_MS))
+                    future.set_result(self.core.reject(job, tunables.LEAVE_RETURN_MS))
                 elif not self.core.offer(job):
-                    future.set_result(self.core.turn_away(job))
+                    future.set_result(self.core.reject(job))
                 answer = await self._wait(job, future, http, session)
             finally:
                 self.open_ids.discard(job.ident)
@@ -232,7 +232,7 @@
                 with suppress(OSError):
                     data = read.result()
                 if not data:
-                    await self.core.post(lambda: self.core.gone(job))
+                    await self.core.post(lambda: self.core.client_gone(job))
                     return None
                 # Kept for the next request; the client may still leave.
                 if not self._keep_ahead(http, session, data) and not session.flooded:
@@ -242,7 +242,7 @@
                     await asyncio.wait([future], timeout=tunables.DROP_S * self._flooding)
                 read = asyncio.ensure_future(session.read())
         except asyncio.CancelledError:
-            await self.core.post(lambda: self.core.gone(job))
+            await self.core.post(lambda: self.core.client_gone(job))
             raise
         finally:
             if session.flooded:
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -141,7 +141,7 @@
 
     def _longest_deadline_ms(self) -> float:
         """Of the classes in force: rows of others are kept for open jobs, and SIGKILL does not wait for those."""
-        return max(self.core.settings.classes[row].deadline_ms for row in self.core.table.live.values())
+        return max(self.core.settings.classes[row].deadline_ms for row in self.core.class_table.live.values())
 
     def _hurry(self) -> None:
         """Close what rests and end what is half read, with an error: SIGKILL may come in a moment.
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -89,5 +89,5 @@
         outcome = await exchange.run()
         call.finished = True  # from here on nothing may call it off: its outcome is on the way
         del self._calls[id(call)]
-        await self.core.post(lambda: self.core.ended(call, outcome))
+        await self.core.post(lambda: self.core.call_ended(call, outcome))
         await exchange.close()
--- a/gaphub/net/http/probe.py
+++ b/gaphub/net/http/probe.py
@@ -66,4 +66,4 @@
             now = self.core.clock.now()
             if connection is not None:
                 pool.give_back(connection, now)
-        await self.core.post(lambda: self.core.probed(destination, status, now - began, report))
+        await self.core.post(lambda: self.core.probe_ended(destination, status, now - began, report))
--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -73,7 +73,7 @@
                 else:
                     out = []
                     await owner.core.post(
-                        lambda data=data: owner.core.peer_said(self.number, data))  # type: ignore[misc]
+                        lambda data=data: owner.core.receive_peer_message(self.number, data))  # type: ignore[misc]
             except GarbledDatagramError as error:
                 owner.counters.log("garbled.datagram", str(error))
                 continue
--- a/gaphub/service.py
+++ b/gaphub/service.py
@@ -34,15 +34,15 @@
 
     def __init__(self, config: Config, core: Core, counters: Counters) -> None:
         fronts = config.fronts
-        self.front = fronts.address
+        self.settings = fronts.address
         self.core = core
         self.counters = counters
-        self.took_over: Callable[[], None] = lambda: None  # hears that this instance holds from now on
-        self.gave_up: Callable[[], None] = lambda: None  # hears that it does no longer
+        self.on_lease_gained: Callable[[], None] = lambda: None  # hears that this instance holds from now on
+        self.on_lease_lost: Callable[[], None] = lambda: None  # hears that it does no longer
         self.node = Node(fronts.cluster, counters, self._moved)
-        self.fence = LeaseFence(self.front.return_ms, self.node.holds)
-        self.announcer = BgpAnnouncer(self.front, fronts.bgp, counters, self.node.clock, self.node.holds,
-                                      config.seed) if self.front.service else None
+        self.fence = LeaseFence(self.settings.return_ms, self.node.holds)
+        self.announcer = BgpAnnouncer(self.settings, fronts.bgp, counters, self.node.clock, self.node.holds,
+                                      config.seed) if self.settings.service else None
         self._tasks = Tasks(counters)
 
     async def open(self) -> None:
@@ -54,11 +54,11 @@
     def _moved(self, move: Move) -> None:
         self.counters.log("lease.gained" if move.gained else "lease.lost", f"term={move.term} {move.why}")
         if move.gained:
-            self.took_over()
+            self.on_lease_gained()
             if self.announcer is not None:
                 self.announcer.set(move.term)
             return
-        self.gave_up()
+        self.on_lease_lost()
         self._tasks.start(self.core.post(self.core.fence_lost))
         if self.announcer is None:
             return
@@ -73,7 +73,7 @@
     async def _withdraw_later(self, term: int) -> None:
         assert self.announcer is not None
         waited = 0.0
-        while waited < self.front.linger_ms and not self._succeeded(term):
+        while waited < self.settings.linger_ms and not self._succeeded(term):
             await asyncio.sleep(0.005)
             waited += 5.0
         if self.announcer.lingers:
@@ -83,12 +83,12 @@
         machine = self.node.election
         return machine.holder not in (0, machine.me) and machine.term > term
 
-    async def leave(self) -> None:
+    async def hand_over(self) -> None:
         """Before the end: hand over, and stay until the successor is heard or nobody can be."""
         held = self.node.holds()
         self.node.set_ready(False)
         waited = 0.0
-        while held and waited < 2 * self.front.linger_ms and (
+        while held and waited < 2 * self.settings.linger_ms and (
                 self.node.holds() or (self.announcer is not None and self.announcer.lingers)):
             await asyncio.sleep(0.005)
             waited += 5.0
@@ -102,5 +102,5 @@
 
     def status(self) -> dict[str, Any]:
         """What ``gaphub status`` shows."""
-        return {"cluster": self.node.status(), "address": self.front.service,
+        return {"cluster": self.node.status(), "address": self.settings.service,
                 "routers": self.announcer.status() if self.announcer is not None else []}
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -34,7 +34,7 @@
 from typing import Any
 
 from gaphub import config as conf
-from gaphub.__main__ import Reload, serve
+from gaphub.__main__ import ConfigReloader, serve
 from gaphub.metrics import Counters
 from gaphub.net import http
 
@@ -137,7 +137,7 @@
         self.file = json.dumps(file).encode()
         self.config = conf.from_text(self.file, {}, fronts)
         env = {"LB_DISCOVERY": file["discovery"]}  # says the same at the start, and for ever after
-        self.reload = Reload(self.config, lambda: conf.from_text(self.file, env, fronts, again=True),
+        self.reload = ConfigReloader(self.config, lambda: conf.from_text(self.file, env, fronts, again=True),
                              self.counters)
         self.task = asyncio.create_task(serve(self.config, self.counters, self.stop, self.reload))
         for _ in range(500):
@@ -236,7 +236,7 @@
         elif actor == "reload":
             new = {**json.loads(self.file), "discovery": f"127.0.0.1:{self.ports.get(rest, 0)}"}
             self.file = b"{" if rest == "faulty" else json.dumps(new).encode()
-            self.reload.asked.set()
+            self.reload.requested.set()
         elif actor == "ended":
             await asyncio.wait([self.task])
         elif actor == "hold":
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -555,7 +555,7 @@
 def test_logs_are_one_event_a_line(form: str, capsys: pytest.CaptureFixture[str]) -> None:
     import sys
 
-    line = logs.make(form, "warning", "n1", sys.stdout)
+    line = logs.make_line_writer(form, "warning", "n1", sys.stdout)
     line("garbled.request", 'a "quoted"\nthing')
     line("lease.gained", "quiet at this level")
     out = capsys.readouterr().out.splitlines()
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -15,7 +15,7 @@
 from gaphub.cold_start import phase_of
 from gaphub.interface import ClassSettings, Effect, Settings
 from gaphub.lab.model import Fleet, Load, Machine
-from gaphub.messages import identity
+from gaphub.messages import worker_identity
 
 SCHEDULERS = 30
 SLOTS = 8
@@ -71,7 +71,7 @@
 COURSES = [a_burst_after_a_quiet_time, workers_that_restart_twice, a_restart_of_all_schedulers]
 
 
-@pytest.mark.parametrize("worker", [7, identity("discovery", "s-0badcafe"), 2**64 - 1])
+@pytest.mark.parametrize("worker", [7, worker_identity("discovery", "s-0badcafe"), 2**64 - 1])
 def test_the_phases_of_all_schedulers_at_a_worker_are_evenly_spread(worker: int) -> None:
     phases = sorted(phase_of(me, SCHEDULERS, worker, 0.5) for me in range(SCHEDULERS))
     gaps = [after - before for before, after in itertools.pairwise(phases)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -59,7 +59,7 @@
         self.name("w1", "w2", "w3", "w4", "w5", "w6")
 
     def name(self, *names: str, state: int = WorkerState.READY) -> None:
-        self.core.listed("test", ListKind.CHANGES, [ListedDestination(n, "", state) for n in names])
+        self.core.update_destinations("test", ListKind.CHANGES, [ListedDestination(n, "", state) for n in names])
 
     def job(self, cls: int = 0, left_ms: float = 4000.0,
             reply: Callable[[Answer], None] | None = None) -> Job:
@@ -68,7 +68,7 @@
         return job
 
     async def end(self, status: Status, body: bytes = b"") -> None:
-        await self.core.post(lambda call=self.port.calls[-1]: self.core.ended(  # type: ignore[misc]
+        await self.core.post(lambda call=self.port.calls[-1]: self.core.call_ended(  # type: ignore[misc]
             call, Outcome(status, body)))
         await asyncio.sleep(0.01)
 
@@ -186,7 +186,7 @@
     await w.end(Status.OK, b"x")
     assert told == [(2, Status.MOOT), (3, Status.MOOT), (1, Status.FULL), (4, Status.OK)]
     assert w.endings == [FinalStatus.SERVED] and w.core.open_jobs == 1  # the first has yet to end
-    await w.core.post(lambda: w.core.ended(w.port.calls[0], Outcome(Status.OK, b"y")))
+    await w.core.post(lambda: w.core.call_ended(w.port.calls[0], Outcome(Status.OK, b"y")))
     await asyncio.sleep(0.01)
     assert w.endings == [FinalStatus.SERVED] and w.core.open_jobs == 0  # two that are served: one answer
 
@@ -200,7 +200,7 @@
     @core_test
     async def test(w: World, patch: Any) -> None:
         w.core.settings = replace(SETTINGS, classes=(replace(KEYED, group=group),))
-        w.core.listed("test", ListKind.FULL, [
+        w.core.update_destinations("test", ListKind.FULL, [
             ListedDestination("a", "", 1, zone=0, cell=1), ListedDestination("b", "", 1, zone=0, cell=2),
             ListedDestination("c", "", 1, zone=1, cell=1)])
         numbers = {d.listed.name: n for n, d in w.core.destinations.by_number.items()}
@@ -251,11 +251,11 @@
 @core_test
 async def test_a_whole_list_of_one_source_keeps_the_other_sources_workers(w: World, patch: Any) -> None:
     w.core.ports["other"] = w.port
-    w.core.listed("other", ListKind.FULL, [ListedDestination("x1", "", WorkerState.READY)])
-    w.core.listed("test", ListKind.FULL, [ListedDestination("w9", "", WorkerState.READY)])
+    w.core.update_destinations("other", ListKind.FULL, [ListedDestination("x1", "", WorkerState.READY)])
+    w.core.update_destinations("test", ListKind.FULL, [ListedDestination("w9", "", WorkerState.READY)])
     assert {d.listed.name for d in w.core.destinations.by_number.values()} == {"x1", "w9"}
     assert len(w.core.balancer.fleet.ready) == 2
-    w.core.listed("other", ListKind.FULL, [])
+    w.core.update_destinations("other", ListKind.FULL, [])
     assert {d.listed.name for d in w.core.destinations.by_number.values()} == {"w9"}
     assert len(w.core.balancer.fleet.ready) == 1
 
@@ -264,7 +264,8 @@
     # Numbers by order of listing gave a key another home at each gateway, to be fetched at each.
     cores = [World().core for _ in range(2)]
     for core, names in zip(cores, (["a", "b", "c"], ["c", "x", "b", "a"]), strict=True):
-        core.listed("test", ListKind.FULL, [ListedDestination(n, "", WorkerState.READY) for n in names])
+        core.update_destinations("test", ListKind.FULL,
+                                 [ListedDestination(n, "", WorkerState.READY) for n in names])
     one, two = ({d.listed.name: n for n, d in c.destinations.by_number.items()} for c in cores)
     assert {n: two[n] for n in one} == one and len(set(two.values())) == 4
 
@@ -330,7 +331,7 @@
     tenants = (TenantSettings(quota_per_s=0.001, share=0.5), TenantSettings(quota_per_s=100.0, share=0.5))
     core = Core(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), 5, Clock(), Counters())
     core.ports["test"] = Port()
-    core.listed("test", ListKind.CHANGES, [ListedDestination("w1", "", WorkerState.READY)])
+    core.update_destinations("test", ListKind.CHANGES, [ListedDestination("w1", "", WorkerState.READY)])
     for i in range(200):
         core._take(Job(f"r{i}", 0, core.clock.now(), 4000.0, lambda answer: None))
     assert core.balancer.jobs
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -200,7 +200,7 @@
     post = Core.post
 
     async def late(core: Core, message: Callable[[], None]) -> None:
-        if getattr(getattr(message, "func", None), "__name__", "") == "gone":
+        if getattr(getattr(message, "func", None), "__name__", "") == "client_gone":
             held.append(message)
         else:
             await post(core, message)
@@ -270,7 +270,7 @@
     def crossed(self: http.Outbound, call: Call) -> None:
         start(self, call)
         cores.append(self.core)
-        self.core._later.append(lambda: self.core.gone(call.job))
+        self.core._later.append(lambda: self.core.client_gone(call.job))
 
     monkeypatch.setattr(http.Outbound, "start", crossed)
 
@@ -782,7 +782,7 @@
             file = json.loads(cast.file)
             file["settings"]["grades"] = [{**CLASSES[0], "deadline": 600.0}]
             cast.file = json.dumps(file).encode()
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
             assert left[0].ends_at - left[0].told_at == 600.0 + http.LEAVE_MORE_MS - http.LEAVE_SLACK_MS
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -77,7 +77,7 @@
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
     core.ports = {"discovery": Port()}
     for kind, entries in told:
-        core.listed("discovery", kind, entries)
+        core.update_destinations("discovery", kind, entries)
         ready = {n for n, d in core.destinations.by_number.items() if d.listed.state == WorkerState.READY}
         assert set(core.balancer.fleet.ready) == ready
         assert set(core.balancer.fleet.workers) == set(core.destinations.by_number)
@@ -91,7 +91,7 @@
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
     core.ports = {"discovery": Port()}
     many = [ListedDestination(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
-    core.listed("discovery", ListKind.FULL, many)
+    core.update_destinations("discovery", ListKind.FULL, many)
     assert len(core.balancer.fleet.ready) == 5000
-    core.listed("discovery", ListKind.FULL, [])
+    core.update_destinations("discovery", ListKind.FULL, [])
     assert not core.balancer.fleet.workers and not core.destinations.by_number and not core.destinations._numbers
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -160,7 +160,7 @@
                 {"name": "nova", "slo": 300.0, "deadline": 2000.0, "idempotency": "idempotent"}]
             await cast.play("c send job poloha r1\nw expect r1")
             cast.file = json.dumps(new).encode()
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("""
                 count reloads.done 1
                 w send status 500
@@ -208,7 +208,7 @@
             new = change if isinstance(change, bytes) else json.dumps({**json.loads(cast.file), **change}).replace(
                 "Infinity", "1e999").encode()
             cast.file = new
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("count reloads.failed 1" + SERVE.format("r1", "w") + """
                 o send call GET /ops/stats
                 o expect "reload_success":0,"reload_failure":1
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -318,7 +318,7 @@
     from gaphub.metrics import Counters
 
     core = Core(read_settings({**SETTINGS, "me": 0, "balancers": 1}), 1, Clock(), Counters())
-    core.listed("discovery", ListKind.FULL,
+    core.update_destinations("discovery", ListKind.FULL,
                 [ListedDestination(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
     while not core._box.empty():
         core._box.get_nowait()()
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -15,7 +15,7 @@
 from gaphub.lab.scale.points import Load, Machine, Measured, Point, Told
 from gaphub.lab.scale.scenario import Scenario, Sweeps, Way, told
 from gaphub.lab.scale.series import Sourced, sort_points
-from gaphub.messages import identity
+from gaphub.messages import worker_identity
 from gaphub.net.destinations import SOURCE
 from gaphub.net.peers import BEAT
 from gaphub.occupancy.all_to_all import AllToAll
@@ -95,7 +95,7 @@
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
     for one in real:
         for worker in range(WORKERS):
-            one.listed(0.0, worker_number(worker), str(identity(SOURCE, worker_name(worker))))
+            one.listed(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
             one.changed(0.0, worker_number(worker), float(_own(one.me, worker)), True)
     played = Played(ShardedFleet(plan, 0.0), real)
     played.run(STEADY_MS, rnd)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -72,7 +72,7 @@
 
     def noted(self: Core, *args: Any, **more: Any) -> None:
         make(self, *args, **more)
-        found.append((self, self.legacy()))
+        found.append((self, self.export_state()))
 
     monkeypatch.setattr(Core, "__init__", noted)
     asyncio.run(run())
@@ -80,6 +80,6 @@
     asyncio.run(run())
     (old, page), (new, _) = found
     assert new.clock.now() - old.clock.now() == pytest.approx(step_s * 1e3, abs=1e3)
-    assert new.inherit(page)
+    assert new.import_state(page)
     assert new.balancer.began <= new.clock.now()
     assert new.clock.now() - new.balancer.began < 60_000.0
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -93,12 +93,12 @@
             assert to is not None
             reader, writer = await asyncio.open_connection(*to, ssl=client(one))
             (one / "server.key").write_text("nonsense")
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("count gearman.tls_not_reloaded 1")
             assert b"hello" in await echo(cast, client(one)), "the old one stays"
             for name in ("server.pem", "server.key"):
                 (one / name).write_bytes((other / name).read_bytes())
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("count gearman.tls_reloaded 1")
             assert b"hello" in await echo(cast, client(other))
             assert await echo(cast, client(one)) == b""
