--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -335,7 +335,7 @@
         destination = self.destinations.get(worker)
         if destination is None or destination.listed.state != WorkerState.READY:
             return None
-        if not destination.listed.able >> job.class_index & 1:
+        if not destination.listed.class_mask >> job.class_index & 1:
             return None
         if job.answered or now >= job.deadline or self._left(job):
             return None
@@ -473,7 +473,7 @@
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a datagram to a peer, or all (-1)."""
         if self.peer_port is not None:
-            self.peer_port.tell(peer, data)
+            self.peer_port.send_to_peer(peer, data)
 
     def log(self, text: str) -> None:
         """Add a line to the log."""
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -40,7 +40,7 @@
         known = self._able.get(class_index)
         if known is None:
             known = self._able[class_index] = sum(
-                d.listed.state == WorkerState.READY and bool(d.listed.able >> class_index & 1)
+                d.listed.state == WorkerState.READY and bool(d.listed.class_mask >> class_index & 1)
                 for d in self.by_number.values())
         return known
 
@@ -120,7 +120,7 @@
             known.listed = entry
         started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
         return ListedWorker(entry.state, entry.kind, entry.cell, entry.weight, entry.zone, number,
-                            started_at, entry.able, known.identity)
+                            started_at, entry.class_mask, known.identity)
 
     def _number(self, source: str, name: str) -> int:
         """The number of a destination, given now if it has none.
--- a/gaphub/messages.py
+++ b/gaphub/messages.py
@@ -85,7 +85,7 @@
     weight: float = 1.0
     zone: int = 0
     started_ms: float = 0.0
-    able: int = -1  # the classes it can run, a bit for each; -1: any
+    class_mask: int = -1  # the classes it can run, a bit for each; -1: any
 
 
 def worker_identity(source: str, name: str) -> int:
@@ -174,5 +174,5 @@
 class PeerPort(Protocol):
     """What reaches the other schedulers."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a datagram to one peer, or all (-1)."""
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -624,7 +624,7 @@
         session.told = (state, able)
         kinds = [c.kind for i, c in enumerate(self.core.settings.classes) if able >> i & 1 and c.kind >= 0]
         entry = ListedDestination(session.name, session.name, state, kind=kinds[0] if kinds else 0,
-                       zone=self.core.settings.zone, able=able)
+                       zone=self.core.settings.zone, class_mask=able)
         await self.core.post(partial(self.core.update_destinations, SOURCE, ListKind.CHANGES, [entry]))
         await self.core.post(self._pump)
 
--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -137,7 +137,7 @@
 
     def _send_heartbeat(self) -> None:
         if self._socket is not None:
-            self.tell(-1, bytes([HEARTBEAT_TYPE, self.serving]))
+            self.send_to_peer(-1, bytes([HEARTBEAT_TYPE, self.serving]))
 
     async def _heartbeat_loop(self) -> None:
         while True:
@@ -161,7 +161,7 @@
                                    self.counters_s * 4000.0)
                 peer.enqueue(None)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a message of the balancer to one peer, or to all (-1)."""
         if peer >= 0:
             target = self._by_number.get(peer)
