--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -26,14 +26,14 @@
 )
 from .logic import Balancer
 from .messages import (
-    NOWHERE,
+    NO_DESTINATION,
     Answer,
     Call,
     CallPort,
     Destination,
-    Ending,
+    FinalStatus,
     Job,
-    Listed,
+    ListedDestination,
     ListPort,
     Outcome,
     PeerPort,
@@ -57,7 +57,7 @@
                  class_names: Sequence[str] = (), name: str = "") -> None:
         """``class_names``: as figures name the classes of the settings; ``name``: the scheduler's."""
         self.settings = settings
-        self.table = initial_table(settings, class_names or [str(i) for i in range(len(settings.classes))])
+        self.class_table = initial_table(settings, class_names or [str(i) for i in range(len(settings.classes))])
         self.job_stats = JobStats()
         self.job_stats.add_classes(self.class_names)
         self.overrides = WorkerOverrides(name)
@@ -67,7 +67,7 @@
         self.ports: dict[str, CallPort] = {}
         self.list_port: ListPort | None = None
         self.peer_port: PeerPort | None = None
-        self.trace: Callable[[str], None] | None = None  # takes a line on each request that is done with
+        self.log_request: Callable[[str], None] | None = None  # takes a line on each request that is done with
         self._box: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX)
         self._later: deque[Callable[[], None]] = deque()  # what actions owe the Balancer, after its call
         self._timers: list[tuple[float, int, int]] = []
@@ -86,49 +86,50 @@
 
     def offer(self, job: Job) -> bool:
         """Hand a request over; False if the mailbox or the request table is full (fail-fast)."""
-        if not self.may_take():
+        if not self.can_accept():
             self.counters.add("requests.fail_fast")
             return False
         self._box.put_nowait(lambda: self._take(job))
         return True
 
-    def may_take(self) -> bool:
+    def can_accept(self) -> bool:
         """Whether ``offer`` would take a request now."""
         return len(self._jobs) < self.settings.max_open and not self._box.full()
 
-    def able(self, class_index: int) -> int:
+    def count_eligible(self, class_index: int) -> int:
         """How many destinations may get jobs of a class now."""
-        return self.destinations.able(class_index)
+        return self.destinations.count_eligible(class_index)
 
-    def turn_away(self, job: Job, return_ms: float = 1e9) -> Answer:
+    def reject(self, job: Job, return_ms: float = 1e9) -> Answer:
         """A refusal at the door: the core never takes the job, but it is counted."""
-        self.job_stats.count_ending(self.class_names[job.class_index], Ending.REFUSED.value)
+        self.job_stats.count_ending(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(return_ms)
 
     def refusal(self, return_ms: float = 1e9) -> Answer:
         """A refusal of the core's own, with a time to return where the settings allow one."""
         return_ms = min(return_ms, self.settings.max_retry_after_ms)
-        return Answer(Ending.REFUSED, retry_after_ms=return_ms if self.settings.retry_after else 0.0)
+        return Answer(FinalStatus.REFUSED, retry_after_ms=return_ms if self.settings.retry_after else 0.0)
 
     @property
     def class_names(self) -> tuple[str, ...]:
         """The name of each class by its number, also of classes that are no more."""
-        return self.table.names
+        return self.class_table.names
 
-    def retune(self, settings: Settings, names: Sequence[str], keep_rows: bool = False) -> None:
+    def apply_settings(self, settings: Settings, names: Sequence[str], keep_rows: bool = False) -> None:
         """Follow new settings: open jobs keep the rules that they came under.
 
         ``keep_rows``: somebody else holds numbers of classes too, so that none may get another meaning.
         """
-        busy = set(range(len(self.table.rows))) if keep_rows else {j.class_index for j in self._jobs.values()}
-        self.table, fresh = updated_table(self.table, settings.classes, names, busy)
-        self.settings = effective_settings(self.settings, settings, self.table)
+        busy = (set(range(len(self.class_table.rows))) if keep_rows
+                else {j.class_index for j in self._jobs.values()})
+        self.class_table, fresh = updated_table(self.class_table, settings.classes, names, busy)
+        self.settings = effective_settings(self.settings, settings, self.class_table)
         self.job_stats.add_classes(names)
         self.destinations.classes_changed()
         self.balancer.on_settings(self.settings, fresh)
 
     @property
-    def concurrent(self) -> int:
+    def unanswered_jobs(self) -> int:
         """Requests taken that still owe an answer."""
         return sum(not job.answered for job in self._jobs.values()) + self._box.qsize()
 
@@ -195,28 +196,28 @@
         self.counters.add("requests.taken")
         # Guards against a client with an endless time-out: the Balancer takes the longest wait that it has
         # seen of a class for a first try's, and would hold everybody else's for hopelessly late retries.
-        job.ends = job.received_at + min(job.left_ms, self.settings.classes[job.class_index].deadline_ms)
+        job.deadline = job.received_at + min(job.left_ms, self.settings.classes[job.class_index].deadline_ms)
         self._serial += 1
         job.number = self._serial
         self._jobs[job.number] = job
-        job.most_calls = self.settings.max_attempts
-        if job.ends - now <= EARLY_MS:
+        job.max_calls = self.settings.max_attempts
+        if job.deadline - now <= EARLY_MS:
             self._answer(job, self.refusal())
             self._settle(job)
             return
-        if not self.may_write(job):
+        if not self.fence_holds(job):
             self._fence_off(job)
             return
-        heappush(self._deadlines, (job.ends - EARLY_MS, job.number))
+        heappush(self._deadlines, (job.deadline - EARLY_MS, job.number))
         # No front tells whose a request is.  Guards against settings with tenants: as the first one's, all were
         # past its quota, and so turned away first.
         nobody = len(self.settings.tenants)
-        request = Request(job.number, job.class_index, job.told_ms or job.ends - now, nobody, job.key, 0.0,
-                          job.slots, job.memory, job.is_retry)
+        request = Request(job.number, job.class_index, job.balancer_budget_ms or job.deadline - now, nobody,
+                          job.key, 0.0, job.slots, job.memory, job.is_retry)
         if not self._guard(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
             self._give_up(job)
 
-    def may_write(self, job: Job) -> bool:
+    def fence_holds(self, job: Job) -> bool:
         """Whether the job's right to be served holds now; ports ask again before the first and last byte."""
         return job.fence is None or job.fence.holds()
 
@@ -224,16 +225,17 @@
         """The right to serve this request is gone and nothing of it is out: its final answer, at once."""
         if not job.answered:
             self.counters.add("requests.fenced")
-            return_ms = job.fence.return_ms if job.fence is not None else 0.0
-            self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job) else Answer(Ending.FAILED))
+            return_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
+            self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job)
+                         else Answer(FinalStatus.FAILED))
             self._drop(job)
 
     def fence_lost(self) -> None:
         """A right to serve ended: refuse all that has nothing out; what is out is waited for."""
-        for job in [j for j in self._jobs.values() if not j.open_calls and not self.may_write(j)]:
+        for job in [j for j in self._jobs.values() if not j.open_calls and not self.fence_holds(j)]:
             self._fence_off(job)
 
-    def gone(self, job: Job) -> None:
+    def client_gone(self, job: Job) -> None:
         """The client left; nothing is owed any more."""
         if not job.answered:
             self.counters.add("requests.client_gone")
@@ -242,7 +244,7 @@
     def withdraw(self, job: Job) -> None:
         """An operator takes a request back; refused where that is harmless, else it stays."""
         if not job.answered and all(c.never_ran or (c.status is None and not c.written) for c in job.calls):
-            self._answer(job, Answer(Ending.REFUSED))
+            self._answer(job, Answer(FinalStatus.REFUSED))
             self._drop(job)
 
     def _drop(self, job: Job) -> None:
@@ -253,17 +255,17 @@
 
     def _give_up(self, job: Job) -> None:
         """The core's own final answer, where the Balancer gave none."""
-        self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(Ending.FAILED))
+        self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(FinalStatus.FAILED))
         self._drop(job)
 
     def _answer(self, job: Job, answer: Answer) -> None:
         if job.answered:
             return
         job.answered = True
-        job.ending = answer.ending.value + job.why
-        job.answered_ms = self.clock.now() - job.received_at
-        self.counters.add(f"requests.{answer.ending.value}")
-        self.job_stats.count_ending(self.class_names[job.class_index], answer.ending.value)
+        job.final_status = answer.final_status.value + job.give_up_reason
+        job.answered_after_ms = self.clock.now() - job.received_at
+        self.counters.add(f"requests.{answer.final_status.value}")
+        self.job_stats.count_ending(self.class_names[job.class_index], answer.final_status.value)
         try:
             job.reply(answer)
         except Exception as error:  # a front that fails must not stop the core
@@ -272,31 +274,31 @@
     def _settle(self, job: Job) -> None:
         if job.answered and not job.open_calls and job.number in self._jobs:
             del self._jobs[job.number]
-            if self.trace is not None:
-                self.trace(describe(job))
+            if self.log_request is not None:
+                self.log_request(describe(job))
 
     # -- calls --
 
-    def written(self, call: Call) -> None:
+    def call_written(self, call: Call) -> None:
         """A port wrote the last byte of a call."""
         self.job_stats.count_dispatch(self.class_names[call.job.class_index])
 
-    def news(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
+    def forward_update(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
         """News of a call for the front that took its request."""
-        if call.status is None and not call.job.answered and call.job.news is not None:
-            call.job.news(kind, data)
+        if call.status is None and not call.job.answered and call.job.on_update is not None:
+            call.job.on_update(kind, data)
 
-    def started(self, call: Call) -> None:
+    def call_started(self, call: Call) -> None:
         """A worker began a call."""
         call.started_at = self.clock.now()
-        self.news(call, "started", ())
+        self.forward_update(call, "started", ())
         self.balancer.on_started(self.clock.now(), call.job.number, call.index)
 
-    def progressed(self, call: Call, share: float) -> None:
+    def call_progressed(self, call: Call, share: float) -> None:
         """A share of a call is done."""
         self.balancer.on_progress(self.clock.now(), call.job.number, call.index, share)
 
-    def ended(self, call: Call, outcome: Outcome) -> None:
+    def call_ended(self, call: Call, outcome: Outcome) -> None:
         """A call ended; the first that is served is the request's answer."""
         job = call.job
         if call.status is not None:
@@ -306,25 +308,25 @@
         call.status = outcome.status
         job.open_calls -= 1
         now = self.clock.now()
-        call.took_ms = now - call.sent_at
+        call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
         if self._left(job):
-            self.gone(job)  # before the Balancer may choose a retry that nobody waits for
+            self.client_gone(job)  # before the Balancer may choose a retry that nobody waits for
         told = outcome.status
         if outcome.status == Status.OK:
-            self._answer(job, Answer(Ending.SERVED, outcome.body))
-        elif outcome.at_fault:
+            self._answer(job, Answer(FinalStatus.SERVED, outcome.body))
+        elif outcome.request_invalid:
             # Guards against clients whose requests every worker turns down: sent on four times each, they
             # had well workers ruled out as failing.  It says nothing of the worker, and none would do better.
             self.counters.add("calls.at_fault")
-            self._answer(job, Answer(Ending.FAILED))
+            self._answer(job, Answer(FinalStatus.FAILED))
             told = Status.MOOT
         sound = self._guard(lambda: self.balancer.on_outcome(
             now, job.number, call.index, told, now - call.sent_at, job.answered, outcome.report))
         if not job.answered and not job.open_calls:
             if not sound:
                 self._give_up(job)
-            elif not self.may_write(job):
+            elif not self.fence_holds(job):
                 self._fence_off(job)  # whatever the Balancer waits for: it may not be sent again
         self._settle(job)
 
@@ -333,33 +335,33 @@
         destination = self.destinations.get(worker)
         if destination is None or destination.listed.state != WorkerState.READY:
             return None
-        if not destination.listed.able >> job.class_index & 1:
+        if not destination.listed.class_mask >> job.class_index & 1:
             return None
-        if job.answered or now >= job.ends or self._left(job):
+        if job.answered or now >= job.deadline or self._left(job):
             return None
-        if job.open_calls >= (COPIES if self.settings.second_copies else 1) or len(job.calls) >= job.most_calls:
+        if job.open_calls >= (COPIES if self.settings.second_copies else 1) or len(job.calls) >= job.max_calls:
             return None
         return destination if may_run_at(self.settings, job, destination, now) else None
 
     @staticmethod
     def _left(job: Job) -> bool:
-        return job.left is not None and job.left() > 0.0
+        return job.client_left_at is not None and job.client_left_at() > 0.0
 
-    def may_go_on(self, call: Call) -> Status | None:
+    def check_before_first_byte(self, call: Call) -> Status | None:
         """Asked by a port before the first byte of a call: None if it may be written, else why not.
 
         Guards against what happens while a call waits for its connection: its worker drains, goes or is
         restarted, its client leaves, the window in which a repeat is harmless ends.
         """
-        listed, at = call.destination.listed, call.to or call.destination.listed
+        listed, at = call.destination.listed, call.listed_at_send or call.destination.listed
         if listed.state != WorkerState.READY or (listed.addr, listed.started_ms) != (at.addr, at.started_ms):
             self.counters.add("calls.overtaken")
             return Status.FULL
-        return self.may_end(call)
+        return self.check_before_last_byte(call)
 
-    def may_end(self, call: Call) -> Status | None:
+    def check_before_last_byte(self, call: Call) -> Status | None:
         """Asked again before the last byte: a drain does not count any more, as the call has begun."""
-        if not self.may_write(call.job):
+        if not self.fence_holds(call.job):
             self.counters.add("calls.fenced")
             return Status.MOOT
         if call.job.answered or self._left(call.job) or not may_run_at(
@@ -376,24 +378,24 @@
         if job is None:
             return
         now = self.clock.now()
-        if not job.open_calls and not self.may_write(job):
+        if not job.open_calls and not self.fence_holds(job):
             self._later.append(partial(self._fence_off, job))
             return
         destination = self._allowed(job, worker, now)
         if destination is None:
             self.counters.log("calls.not_allowed", job.ident)
-            call = Call(job, len(job.calls), self.destinations.get(worker) or NOWHERE, now, now)
+            call = Call(job, len(job.calls), self.destinations.get(worker) or NO_DESTINATION, now, now)
             call.status = Status.MOOT
             # It has a number at the Balancer, so it has one here: else the outcomes of later ones are
             # told under the numbers of others.
             job.calls.append(call)
             if self._left(job):
-                self._later.append(partial(self.gone, job))  # its front has yet to say so
+                self._later.append(partial(self.client_gone, job))  # its front has yet to say so
             self._later.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
-        ends = min(job.ends, now + timeout_ms) if timeout_ms > 0 else job.ends
-        call = Call(job, len(job.calls), destination, now, ends, to=destination.listed)
+        ends = min(job.deadline, now + timeout_ms) if timeout_ms > 0 else job.deadline
+        call = Call(job, len(job.calls), destination, now, ends, listed_at_send=destination.listed)
         job.calls.append(call)
         job.open_calls += 1
         self.counters.add("calls.sent")
@@ -403,8 +405,8 @@
             self.counters.log("port_failed", repr(error))
             outcome = Outcome(Status.CONNECT_FAILED)
         if outcome is not None:
-            self._later.append(partial(self.ended, call, outcome))
-        elif ends < job.ends:
+            self._later.append(partial(self.call_ended, call, outcome))
+        elif ends < job.deadline:
             self._serial += 1
             heappush(self._call_ends, (ends, self._serial, call))
 
@@ -412,11 +414,11 @@
         """Final answer: refused.  A refusal that would be untrue is sent as a failure."""
         job = self._jobs.get(request)
         if job is not None:
-            ending = Ending.REFUSED if may_repeat(self.settings, job) else Ending.FAILED
-            job.why = f":{self.balancer.give_up_reason}"
+            ending = FinalStatus.REFUSED if may_repeat(self.settings, job) else FinalStatus.FAILED
+            job.give_up_reason = f":{self.balancer.give_up_reason}"
             self.counters.add("given_up.tried" if job.calls else "given_up.untried")
             if job.fence is not None and not job.fence.holds():
-                retry_after_ms = job.fence.return_ms
+                retry_after_ms = job.fence.retry_after_ms
             self._answer(job, Answer(ending, retry_after_ms=retry_after_ms))
             self._settle(job)
 
@@ -424,8 +426,8 @@
         """Final answer: failed."""
         job = self._jobs.get(request)
         if job is not None:
-            job.why = f":{self.balancer.give_up_reason}"
-            self._answer(job, Answer(Ending.FAILED))
+            job.give_up_reason = f":{self.balancer.give_up_reason}"
+            self._answer(job, Answer(FinalStatus.FAILED))
             self._settle(job)
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -438,7 +440,7 @@
         if call.status is None:
             outcome = self.ports[call.destination.source].cancel(call)
             if outcome is not None:
-                self._later.append(partial(self.ended, call, outcome))
+                self._later.append(partial(self.call_ended, call, outcome))
 
     def set_timer(self, delay_ms: float, token: int) -> None:
         """Ask for a timer event."""
@@ -455,9 +457,9 @@
         self.counters.add("probes.sent")
         known = self.ports[destination.source].probe(destination)
         if known is not None:
-            self._later.append(partial(self.probed, destination, known[0], 0.0, known[1]))
+            self._later.append(partial(self.probe_ended, destination, known[0], 0.0, known[1]))
 
-    def probed(self, destination: Destination, status: Status, took_ms: float,
+    def probe_ended(self, destination: Destination, status: Status, took_ms: float,
                report: tuple[float, ...]) -> None:
         """A probe ended."""
         self.counters.add(f"probes.{status.name.lower()}")
@@ -471,7 +473,7 @@
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a datagram to a peer, or all (-1)."""
         if self.peer_port is not None:
-            self.peer_port.tell(peer, data)
+            self.peer_port.send_to_peer(peer, data)
 
     def log(self, text: str) -> None:
         """Add a line to the log."""
@@ -489,19 +491,19 @@
 
     # -- the destination set and the peers --
 
-    def listed(self, source: str, kind: int, entries: Sequence[Listed]) -> None:
+    def update_destinations(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> None:
         """A source named destinations; FULL and CACHED name all of that source's."""
         now = self.clock.now()
-        self.destinations.saw_clock(self.clock.stepped_ms())
-        told_kind, told = self.destinations.take(now, source, kind, entries)
+        self.destinations.observe_clock(self.clock.wall_clock_step_ms())
+        told_kind, told = self.destinations.update(now, source, kind, entries)
         self.counters.add("lists.taken")
         if kind != ListKind.CACHED:
-            self.heard_discovery()
+            self.discovery_answered()
         self.balancer.on_workers(now, told_kind, told)
 
-    def heard_discovery(self) -> None:
+    def discovery_answered(self) -> None:
         """Discovery answered, with news or without."""
-        self.destinations.heard_source(self.clock.now())
+        self.destinations.source_answered(self.clock.now())
 
     def _forget(self, destination: Destination) -> None:
         self.ports[destination.source].forget(destination)
@@ -510,27 +512,27 @@
         """Whether a source has named a destination, now or before."""
         return self.destinations.ever_listed(name)
 
-    def moved_by_hand(self, names: Iterable[str]) -> None:
+    def apply_operator_changes(self, names: Iterable[str]) -> None:
         """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
         now = self.clock.now()
-        told = self.destinations.moved_by_hand(now, names)
+        told = self.destinations.apply_operator_changes(now, names)
         self.balancer.on_workers(now, ListKind.CHANGES, told)
 
-    def legacy(self) -> bytes:
+    def export_state(self) -> bytes:
         """What a successor may go on from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
         return encode_state(self.balancer, self.overrides.scheduler, self.clock.now(),
-                            dict(self.table.active_rows), names, self.clock.base)
+                            dict(self.class_table.active_rows), names, self.clock.unix_offset_ms)
 
-    def inherit(self, data: bytes) -> bool:
+    def import_state(self, data: bytes) -> bool:
         """Go on from what a process of this scheduler left; False if there is nothing to believe."""
-        page = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.base)
+        page = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.unix_offset_ms)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            restore_state(self.balancer, page, dict(self.table.active_rows), numbers)
+            restore_state(self.balancer, page, dict(self.class_table.active_rows), numbers)
         return page is not None
 
-    def targets(self) -> tuple[int, int]:
+    def count_targets(self) -> tuple[int, int]:
         """How many destinations are listed, and how many of them are out by hand or ruled out for now."""
         now = self.clock.now()
         known = self.balancer.fleet.workers
@@ -539,10 +541,10 @@
                       for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), avoided
 
-    def list_failed(self) -> None:
+    def discovery_failed(self) -> None:
         """A call to discovery failed."""
         self.balancer.on_workers(self.clock.now(), ListKind.FAILED, ())
 
-    def peer_said(self, sender: int, data: bytes) -> None:
+    def receive_peer_message(self, sender: int, data: bytes) -> None:
         """A datagram from a peer."""
         self.balancer.on_peer(self.clock.now(), sender, data)
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from .interface import ListedWorker, ListKind, WorkerState
-from .messages import Destination, Listed, identity
+from .messages import Destination, ListedDestination, worker_identity
 from .ops.out import WorkerOverrides
 from .start_times import StartTimes
 
@@ -35,12 +35,12 @@
         """A destination that is listed."""
         return self.by_number.get(number)
 
-    def able(self, class_index: int) -> int:
+    def count_eligible(self, class_index: int) -> int:
         """How many destinations may get jobs of a class now."""
         known = self._able.get(class_index)
         if known is None:
             known = self._able[class_index] = sum(
-                d.listed.state == WorkerState.READY and bool(d.listed.able >> class_index & 1)
+                d.listed.state == WorkerState.READY and bool(d.listed.class_mask >> class_index & 1)
                 for d in self.by_number.values())
         return known
 
@@ -52,15 +52,15 @@
         """Whether a source has named a destination, now or before."""
         return name in self._ever
 
-    def saw_clock(self, ahead_ms: float) -> None:
+    def observe_clock(self, ahead_ms: float) -> None:
         """The wall clock is ahead of the monotonic one by so much now."""
         self._starts.record_wall_clock(ahead_ms)
 
-    def heard_source(self, now: float) -> None:
+    def source_answered(self, now: float) -> None:
         """Discovery answered, with news or without."""
         self._starts.record_answer(now)
 
-    def take(self, now: float, source: str, kind: int, entries: Sequence[Listed]
+    def update(self, now: float, source: str, kind: int, entries: Sequence[ListedDestination]
              ) -> tuple[int, list[ListedWorker]]:
         """Follow what a source named; FULL and CACHED name all of that source's.
 
@@ -78,33 +78,34 @@
             told = [t for t in told if t.state != WorkerState.GONE]
         return kind, told
 
-    def moved_by_hand(self, now: float, names: Iterable[str]) -> list[ListedWorker]:
+    def apply_operator_changes(self, now: float, names: Iterable[str]) -> list[ListedWorker]:
         """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
         wanted = set(names)
         self._able.clear()
-        return [self._follow(now, d.source, replace(d.listed, state=d.said))
+        return [self._follow(now, d.source, replace(d.listed, state=d.reported_state))
                 for d in list(self.by_number.values()) if d.listed.name in wanted]
 
-    def _unnamed(self, source: str, kind: int, entries: Sequence[Listed]) -> list[Listed]:
+    def _unnamed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> list[ListedDestination]:
         """Those of a source that its whole list does not name any more."""
         if kind not in (ListKind.FULL, ListKind.CACHED):
             return []
         known = {name for s, name in self._numbers if s == source}
-        return [Listed(name, "", WorkerState.GONE) for name in sorted(known - {e.name for e in entries})]
+        return [ListedDestination(name, "", WorkerState.GONE)
+                for name in sorted(known - {e.name for e in entries})]
 
-    def _remember(self, entries: Sequence[Listed]) -> None:
+    def _remember(self, entries: Sequence[ListedDestination]) -> None:
         for entry in entries:
             self._ever.pop(entry.name, None)
             self._ever[entry.name] = None
         while len(self._ever) > max(EVER_MOST, len(self.by_number)):
             del self._ever[next(iter(self._ever))]
 
-    def _follow(self, now: float, source: str, entry: Listed) -> ListedWorker:
+    def _follow(self, now: float, source: str, entry: ListedDestination) -> ListedWorker:
         """Take one entry in; as the decisions are to know it."""
         number = self._number(source, entry.name)
         known = self.by_number.get(number)
         if known is None:
-            known = Destination(number, source, entry, identity=identity(source, entry.name))
+            known = Destination(number, source, entry, identity=worker_identity(source, entry.name))
             self.by_number[number] = known
         elif entry.state == WorkerState.GONE or (entry.addr, entry.started_ms) != (
                 known.listed.addr, known.listed.started_ms):
@@ -113,13 +114,13 @@
             known.listed.state = WorkerState.GONE
             del self._numbers[source, entry.name], self.by_number[number]
         else:
-            known.said = entry.state
+            known.reported_state = entry.state
             if entry.state == WorkerState.READY and self.overrides.is_out(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             known.listed = entry
         started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
         return ListedWorker(entry.state, entry.kind, entry.cell, entry.weight, entry.zone, number,
-                            started_at, entry.able, known.identity)
+                            started_at, entry.class_mask, known.identity)
 
     def _number(self, source: str, name: str) -> int:
         """The number of a destination, given now if it has none.
