--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -13,7 +13,7 @@
 from ..interface import ClassSettings
 from ..logic import Balancer
 from ..workers import Worker
-from .page import seal, unseal
+from .page import add_checksum, decode_checked
 
 FORMAT = "gaphub-legacy-2"
 MAX_AGE_MS = 5_000.0  # an older snapshot comes from a process that has ended or was stopped
@@ -71,7 +71,7 @@
         {key: float(getattr(balancer, attribute)) for key, attribute in MEASURED.items()},
         {kind: (mean, reports.max_free_slots.get(kind, mean)) for kind, mean in reports.idle_free_slots.items()},
         classes, cold)
-    return seal(msgspec.json.encode(snapshot))
+    return add_checksum(msgspec.json.encode(snapshot))
 
 
 def decode_state(data: bytes, scheduler: str, now: float, base: float = 0.0) -> StateSnapshot | None:
@@ -79,7 +79,7 @@
 
     None if it is corrupt, too old, in another format or from another scheduler.
     """
-    snapshot = unseal(data, StateSnapshot)
+    snapshot = decode_checked(data, StateSnapshot)
     if snapshot is None or snapshot.format != FORMAT or snapshot.scheduler != scheduler:
         return None
     # Compared on the monotonic clock: the wall clock may have been stepped between the starts of the processes.
--- a/gaphub/ops/out.py
+++ b/gaphub/ops/out.py
@@ -1,8 +1,8 @@
-"""Owns who is out by hand: workers that operators have taken out, until they put them back.
+"""Operator overrides: workers that operators have taken out of service until they put them back.
 
-Pure: no I/O, no clock.  Each word carries when it was said; of two about one worker the later holds, whoever
-said it, so that two processes of one scheduler come to hold the same whatever order they hear each other in.
-It must never guess: what cannot be read in full is not believed at all.
+Pure: no I/O, no clock.  Each override carries its time, and the latest one per worker wins, whichever process
+recorded it, so that the processes of one scheduler converge in whatever order they merge each other's overrides.
+A file that cannot be decoded completely is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -11,79 +11,80 @@
 
 import msgspec
 
-from .page import seal, unseal
+from .page import add_checksum, decode_checked
 
-MAX_OVERRIDES = 16_384  # words kept; beyond it the oldest that say "back" go first, and a further "out" is refused
+# When full, the oldest override of a worker back in service is dropped; if all are out, a new one is refused.
+MAX_OVERRIDES = 16_384
 FORMAT = "gaphub-out-1"
 
 
 class Override(msgspec.Struct, frozen=True, array_like=True):
-    """What was last said of a worker; ``at`` in ms of Unix time."""
+    """The last override of a worker; ``at`` is its Unix time in ms, ``out`` whether it is out of service."""
 
     worker: str
     at: float
     out: bool
 
 
-class _Page(msgspec.Struct, frozen=True):
+class _OverridesFile(msgspec.Struct, frozen=True):
     format: str
     scheduler: str
     words: list[Override]
 
 
 class WorkerOverrides:
-    """The words of one scheduler."""
+    """The overrides of one scheduler."""
 
     def __init__(self, scheduler: str) -> None:
         self.scheduler = scheduler
         self._entries: dict[str, Override] = {}
 
     def is_out(self, worker: str) -> bool:
-        """Whether a worker is out."""
-        word = self._entries.get(worker)
-        return word is not None and word.out
+        """Whether a worker is out of service."""
+        override = self._entries.get(worker)
+        return override is not None and override.out
 
     def record(self, now: float, worker: str, out: bool) -> bool:
-        """An operator's word; False if there is no room to keep it."""
-        before = self._entries.get(worker)
-        if before is None and len(self._entries) >= MAX_OVERRIDES and not self._forget_one():
+        """Record an operator's override; False if there is no room for it."""
+        previous = self._entries.get(worker)
+        if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_in_service():
             return False
-        # Later than whatever was said before, also where the clock was put back in between.
-        self._entries[worker] = Override(worker, now if before is None else max(now, before.at + 1.0), out)
+        # Later than the previous override even if the clock was set back in between.
+        self._entries[worker] = Override(worker, now if previous is None else max(now, previous.at + 1.0), out)
         return True
 
-    def _forget_one(self) -> bool:
-        back = [w for w in self._entries.values() if not w.out]
-        if back:
-            del self._entries[min(back, key=lambda w: w.at).worker]
-        return bool(back)
+    def _drop_oldest_in_service(self) -> bool:
+        in_service = [override for override in self._entries.values() if not override.out]
+        if in_service:
+            del self._entries[min(in_service, key=lambda override: override.at).worker]
+        return bool(in_service)
 
     def merge(self, entries: Iterable[Override]) -> list[str]:
-        """Take in another process's words; the workers that went out or came back by it."""
+        """Merge another process's overrides; the workers whose service state changed."""
         changed = []
-        for word in entries:
-            before = self._entries.get(word.worker)
-            if before is not None and (before.at, before.out) >= (word.at, word.out):
+        for override in entries:
+            previous = self._entries.get(override.worker)
+            if previous is not None and (previous.at, previous.out) >= (override.at, override.out):
                 continue
-            if before is None and len(self._entries) >= MAX_OVERRIDES and not self._forget_one():
+            if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_in_service():
                 continue
-            self._entries[word.worker] = word
-            if word.out != (before is not None and before.out):
-                changed.append(word.worker)
+            self._entries[override.worker] = override
+            if override.out != (previous is not None and previous.out):
+                changed.append(override.worker)
         return changed
 
     def entries(self) -> list[Override]:
-        """All words, by worker."""
-        return [self._entries[w] for w in sorted(self._entries)]
+        """All overrides, sorted by worker."""
+        return [self._entries[worker] for worker in sorted(self._entries)]
 
     def encode(self) -> bytes:
-        """A page: a line with the sum of what follows, then the words as JSON."""
-        return seal(msgspec.json.encode(_Page(FORMAT, self.scheduler, self.entries())))
+        """All overrides as JSON, preceded by a line with the checksum."""
+        return add_checksum(msgspec.json.encode(_OverridesFile(FORMAT, self.scheduler, self.entries())))
 
     def decode(self, data: bytes) -> list[Override] | None:
-        """The words of a page; None if it is torn, of another format or of another scheduler."""
-        page = unseal(data, _Page)
-        if (page is None or page.format != FORMAT or page.scheduler != self.scheduler
-                or len(page.words) > MAX_OVERRIDES):
+        """Decode encoded overrides; None if corrupt, in another format or from another scheduler."""
+        file = decode_checked(data, _OverridesFile)
+        if (file is None or file.format != FORMAT or file.scheduler != self.scheduler
+                or len(file.words) > MAX_OVERRIDES):
             return None
-        return page.words
+        return file.words
--- a/gaphub/ops/page.py
+++ b/gaphub/ops/page.py
@@ -1,6 +1,6 @@
-"""Owns the form of the pages in ``$TMPDIR``: a line with the sum of what follows, then the text as JSON.
+"""Format of the files in ``$TMPDIR``: a line with a CRC-32 of the rest, then JSON.
 
-Pure.  It must never give back what is not whole.
+Pure.  Incomplete or corrupt data is never decoded.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 T = TypeVar("T")
 
 
-def seal(body: bytes) -> bytes:
-    """A page of this text."""
+def add_checksum(body: bytes) -> bytes:
+    """Prepend the checksum line to JSON text."""
     return b"%08x\n" % zlib.crc32(body) + body
 
 
-def unseal(data: bytes, form: type[T]) -> T | None:
-    """What a page says; None if it is torn or of another form."""
-    head, _, body = data.partition(b"\n")
-    if head != b"%08x" % zlib.crc32(body):
+def decode_checked(data: bytes, type_: type[T]) -> T | None:
+    """Verify the checksum and decode the JSON; None if the data is corrupt or has another structure."""
+    checksum, _, body = data.partition(b"\n")
+    if checksum != b"%08x" % zlib.crc32(body):
         return None
     try:
-        return msgspec.json.decode(body, type=form)
+        return msgspec.json.decode(body, type=type_)
     except msgspec.DecodeError:
         return None
--- a/gaphub/ops/retune.py
+++ b/gaphub/ops/retune.py
@@ -1,7 +1,7 @@
-"""Owns the table of classes across reloads: which row of the running program a class of the file is.
+"""The class table across reloads: it maps each class of the file in force to a row of the running scheduler.
 
-Pure.  A row never changes under a job that is open: a class whose rules differ gets another row, and the old
-one, worth nothing from then on, goes on until its jobs have ended.  Rows without jobs are used again.
+Pure.  A row never changes while a job that uses it is open: a class with changed rules gets another row, and the
+old one, with its worth set to 0, remains until its jobs have ended.  Rows without jobs are reused.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from ..interface import ClassSettings, Settings
 
-# What a reload may change beside the classes: nothing has been measured or sized by these.
+# Settings besides the classes that a reload may change, as no measured value or allocated size depends on them.
 RELOADABLE_SETTINGS = ("max_attempts", "max_open", "max_retry_after_ms", "retry_after", "over_share_worth")
 
 
 @dataclass(frozen=True)
 class ClassTable:
-    """Rows by number, the name that each has or had, and the row of each class of the file in force."""
+    """All rows by number, the class name of each row, and the row of each class of the file in force."""
 
     rows: tuple[ClassSettings, ...]
     names: tuple[str, ...]
@@ -26,36 +26,38 @@
 
 
 def initial_table(settings: Settings, names: Sequence[str]) -> ClassTable:
-    """The table at the start."""
+    """The class table at startup."""
     return ClassTable(settings.classes, tuple(names), {name: i for i, name in enumerate(names)})
 
 
 def updated_table(table: ClassTable, classes: Sequence[ClassSettings], names: Sequence[str],
                   busy: AbstractSet[int]) -> tuple[ClassTable, list[int]]:
-    """The table for another file, and the rows that are new in it; ``busy``: rows that jobs still need."""
-    wanted = dict(zip(names, classes, strict=True))
-    live = {name: row for name, row in table.active_rows.items() if wanted.get(name) == table.rows[row]}
-    # A row that was live until now may be that of a job on its way to the core: it is free another time.
-    free = [row for row in range(len(table.rows)) if row not in table.active_rows.values() and row not in busy]
-    rows, named = list(table.rows), list(table.names)
-    fresh = []
-    for name, cls in wanted.items():
-        if name in live:
+    """The class table after a reload, and the rows that are new in it; ``busy``: rows used by open jobs."""
+    configured = dict(zip(names, classes, strict=True))
+    active_rows = {name: row for name, row in table.active_rows.items() if configured.get(name) == table.rows[row]}
+    # A row that was active until now may belong to a job on its way to the core, so only a later reload reuses it.
+    free_rows = [row for row in range(len(table.rows))
+                 if row not in table.active_rows.values() and row not in busy]
+    rows, row_names = list(table.rows), list(table.names)
+    new_rows = []
+    for name, rules in configured.items():
+        if name in active_rows:
             continue
-        if free:
-            row = free.pop(0)
-            rows[row], named[row] = cls, name
+        if free_rows:
+            row = free_rows.pop(0)
+            rows[row], row_names[row] = rules, name
         else:
             row = len(rows)
-            rows.append(cls)
-            named.append(name)
-        live[name] = row
-        fresh.append(row)
-    kept = set(live.values())
-    rows = [cls if row in kept else replace(cls, worth=0.0, late_worth=0.0) for row, cls in enumerate(rows)]
-    return ClassTable(tuple(rows), tuple(named), live), fresh
+            rows.append(rules)
+            row_names.append(name)
+        active_rows[name] = row
+        new_rows.append(row)
+    active = set(active_rows.values())
+    rows = [rules if row in active else replace(rules, worth=0.0, late_worth=0.0)
+            for row, rules in enumerate(rows)]
+    return ClassTable(tuple(rows), tuple(row_names), active_rows), new_rows
 
 
 def effective_settings(old: Settings, new: Settings, table: ClassTable) -> Settings:
-    """The settings in force with a new table and what else a reload may change."""
+    """The old settings with the classes of the new table and the reloadable values of the new settings."""
     return replace(old, classes=table.rows, **{key: getattr(new, key) for key in RELOADABLE_SETTINGS})
