--- a/gaphub/messages.py
+++ b/gaphub/messages.py
@@ -1,6 +1,7 @@
-"""What the core, its fronts and its ports hand each other: requests, answers, destinations, calls and outcomes.
+"""Types exchanged between the core, the front ends and the ports: jobs, answers, destinations, calls, outcomes.
 
-Plain data and the protocols of the ports; it must never decide anything, and knows no wire.
+Plain data and the protocols that ports implement.  No decisions are made here, and nothing depends on a wire
+protocol.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class FinalStatus(Enum):
-    """The final answer of a request."""
+    """How a request was finally answered."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -23,17 +24,17 @@
 
 
 class Fence(Protocol):
-    """A right to serve that may end at any moment, such as the lease of a service address."""
+    """A revocable right to serve, such as the lease of a service address.  It may end at any moment."""
 
-    retry_after_ms: float  # when a client that is refused for want of it may come back
+    retry_after_ms: float  # sent to clients that are refused because the right is not held
 
     def holds(self) -> bool:
-        """Whether it is valid at this moment, by the clock: asked anew before each side effect."""
+        """Whether the right is held now, by the clock; checked again before each side effect."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer on its way to the front that took the request."""
+    """A final answer, passed to the front end that received the request."""
 
     final_status: FinalStatus
     body: bytes = b""
@@ -42,12 +43,15 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request as a front took it; ``reply`` is called once with the final answer."""
+    """A request as received by a front end; ``reply`` is called exactly once, with the final answer.
+
+    Times without a unit in their name are in ms on the scheduler's clock.
+    """
 
     ident: str
     class_index: int
     received_at: float
-    left_ms: float
+    left_ms: float  # until the client's deadline, at ``received_at``
     reply: Callable[[Answer], None]
     body: bytes = b""
     method: str = "POST"
@@ -56,26 +60,26 @@
     slots: float = 1.0
     memory: float = 0.0
     is_retry: bool = False
-    forwarded_headers: tuple[tuple[bytes, bytes], ...] = ()  # further headers that a worker gets as they came
-    on_update: Callable[[str, tuple[bytes, ...]], None] | None = None  # what its front wants to hear meanwhile
-    front_context: object = None  # the front's own record of it
-    balancer_budget_ms: float = 0.0  # what the Balancer is told is left; 0: what is left
-    fence: Fence | None = None  # what must hold while it is taken and sent; None: nothing
-    client_left_at: Callable[[], float] | None = None  # since when its client is known to have left, 0: it has not
-    number: int = 0
+    forwarded_headers: tuple[tuple[bytes, bytes], ...] = ()  # passed to the worker unchanged
+    on_update: Callable[[str, tuple[bytes, ...]], None] | None = None  # gets updates before the answer
+    front_context: object = None  # the front end's own record of the request
+    balancer_budget_ms: float = 0.0  # remaining time as told to the Balancer; 0: the actual remaining time
+    fence: Fence | None = None  # must hold when the request is accepted and sent; None: no fence
+    client_left_at: Callable[[], float] | None = None  # when the client disconnected; 0: still connected
+    number: int = 0  # assigned by the core; the Balancer's request id
     deadline: float = 0.0
-    max_calls: int = 0  # as the settings allowed when it was taken
+    max_calls: int = 0  # ``max_attempts`` of the settings in force on acceptance
     answered: bool = False
-    give_up_reason: str = ""  # behind a colon, why the Balancer gave it up
-    final_status: str = "gone"  # the final answer, and why
-    answered_after_ms: float = 0.0  # after it was received
+    give_up_reason: str = ""  # ":" and the reason, where the Balancer gave up
+    final_status: str = "gone"  # for the request log: the final status and ``give_up_reason``
+    answered_after_ms: float = 0.0  # since ``received_at``
     calls: list[Call] = field(default_factory=list)
     open_calls: int = 0
 
 
 @dataclass(slots=True)
 class ListedDestination:
-    """One destination as a source of the destination set names it."""
+    """One destination as listed by its source, which is discovery or the Gearman front end."""
 
     name: str
     addr: str
@@ -85,94 +89,95 @@
     weight: float = 1.0
     zone: int = 0
     started_ms: float = 0.0
-    class_mask: int = -1  # the classes it can run, a bit for each; -1: any
+    class_mask: int = -1  # one bit per class that it can run; -1: any class
 
 
 def worker_identity(source: str, name: str) -> int:
-    """A worker's number that depends on its name alone: 64 bits, so that no two of a fleet share one."""
+    """A 64-bit hash of a worker's source and name: the same at every scheduler, and unique in a fleet."""
     return int.from_bytes(blake2b(f"{source}/{name}".encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(slots=True)
 class Destination:
-    """A worker that may be called, and the port that reaches it."""
+    """A listed worker; ``source`` names the port that calls it."""
 
     number: int
     source: str
-    listed: ListedDestination  # as it is to be used: one that is out by hand drains
-    reported_state: int = WorkerState.READY  # its state as its source says
-    identity: int = 0  # the same at every scheduler
+    listed: ListedDestination  # with state DRAINING where an operator disabled a READY worker
+    reported_state: int = WorkerState.READY  # as reported by its source
+    identity: int = 0  # see ``worker_identity``
 
 
-NO_DESTINATION = Destination(0, "", ListedDestination("", "", WorkerState.GONE))  # of a call that was not allowed
+# Stands for an unknown destination in a call that the core did not allow.
+NO_DESTINATION = Destination(0, "", ListedDestination("", "", WorkerState.GONE))
 
 
 @dataclass(slots=True)
 class Call:
-    """One attempt.  ``over`` is set by its port when the outcome is fixed."""
+    """One attempt of a job.  Times without a unit in their name are in ms on the scheduler's clock."""
 
     job: Job
     index: int
     destination: Destination
     sent_at: float
     deadline: float
-    finished: bool = False
-    written: bool = False  # set by its port just before the last byte leaves
+    finished: bool = False  # set by the port when the outcome is final
+    written: bool = False  # set by the port just before it writes the last byte
     timed_out: bool = False
     duration_ms: float = 0.0
     status: Status | None = None
-    task_started: bool = False  # set by its port when it first works on it
-    first_byte_at: float = 0.0  # when its first byte was about to leave, the last time; 0: never
-    started_at: float = 0.0  # when its worker told that it runs; 0: it never did
-    listed_at_send: ListedDestination | None = None  # its destination as it was listed when it was sent
+    task_started: bool = False  # set by the port when its task first runs
+    first_byte_at: float = 0.0  # just before the first byte was written, on the last connection tried; 0: never
+    started_at: float = 0.0  # when the worker reported that the job runs; 0: never reported
+    listed_at_send: ListedDestination | None = None  # the destination's entry when the call was sent
 
     @property
     def never_ran(self) -> bool:
-        """Whether it is proved that this attempt did not run."""
+        """Whether it is certain that this attempt did not run."""
         return self.status in NEVER_RAN or (self.status == Status.CANCELLED and not self.written)
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How a call ended."""
+    """How a call ended; ``report`` is the worker's load report, empty if none came."""
 
     status: Status
     body: bytes = b""
     report: tuple[float, ...] = ()
-    request_invalid: bool = False  # with ERROR: the worker says that the request itself is wrong
+    request_invalid: bool = False  # with ERROR: the worker rejected the request itself
 
 
 class CallPort(Protocol):
-    """What reaches the destinations of one source."""
+    """Sends calls and probes to the destinations of one source."""
 
     def start(self, call: Call) -> Outcome | None:
-        """Begin a call; its outcome if it ended at once, else ``Core.ended`` must follow once."""
+        """Start a call; returns its outcome if it ended at once, else ``Core.call_ended`` must follow once."""
 
     def cancel(self, call: Call) -> Outcome | None:
-        """Stop waiting for a call and close its connection; its outcome, as with ``start``."""
+        """Abandon a call and close its connection; returns the outcome as ``start`` does."""
 
     def probe(self, destination: Destination) -> tuple[Status, tuple[float, ...]] | None:
-        """Check a destination; how and its report if known at once, else ``Core.probed`` must follow."""
+        """Probe a destination; its status and report if known at once, else ``Core.probe_ended`` must follow."""
 
     def close_idle(self, destination: Destination) -> None:
-        """Close idle connections."""
+        """Close idle connections to a destination."""
 
     def forget(self, destination: Destination) -> None:
-        """The destination is gone or restarted: its idle connections are of no use."""
+        """Drop the idle connections to a destination that is gone, has moved or was restarted."""
 
 
 class ListPort(Protocol):
-    """What asks discovery for more than it says by itself."""
+    """Requests worker lists from discovery."""
 
     def watch(self, on: bool) -> None:
-        """Follow changes, or stop."""
+        """Start or stop watching for changes."""
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Request the full list once."""
 
 
 class PeerPort(Protocol):
-    """What reaches the other schedulers."""
+    """Sends datagrams to the other schedulers."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a datagram to one peer, or all (-1)."""
+        """Send a datagram to one peer; -1: to all."""
