--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -45,9 +45,9 @@
 from .ops.retune import first, follow, settings_for
 from .request_log import describe
 
-MAILBOX = 4096  # messages; requests past it are refused, everything else waits for room
-COPIES = 2  # attempts of a request that may be out together where the settings allow second copies
-EARLY_MS = 2.0  # the watchdog answers this long before a deadline that the Balancer let come
+MAILBOX_SIZE = 4096  # messages; requests past it are refused, everything else waits for room
+MAX_CALLS_IN_FLIGHT = 2  # attempts of a request that may be out together where the settings allow second copies
+WATCHDOG_MARGIN_MS = 2.0  # the watchdog answers this long before a deadline that the Balancer let come
 
 
 class Core:
@@ -68,11 +68,11 @@
         self.list_port: ListPort | None = None
         self.peer_port: PeerPort | None = None
         self.log_request: Callable[[str], None] | None = None  # takes a line on each request that is done with
-        self._box: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX)
-        self._later: deque[Callable[[], None]] = deque()  # what actions owe the Balancer, after its call
+        self._mailbox: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX_SIZE)
+        self._deferred: deque[Callable[[], None]] = deque()  # what actions owe the Balancer, after its call
         self._timers: list[tuple[float, int, int]] = []
         self._deadlines: list[tuple[float, int]] = []
-        self._call_ends: list[tuple[float, int, Call]] = []  # of calls that end before their request
+        self._call_timeouts: list[tuple[float, int, Call]] = []  # of calls that end before their request
         self._serial = 0
         self._jobs: dict[int, Job] = {}
         self.balancer = Balancer(clock.now(), settings, seed, self)
@@ -82,19 +82,19 @@
 
     async def post(self, message: Callable[[], None]) -> None:
         """Hand a message over; waits while the mailbox is full."""
-        await self._box.put(message)
+        await self._mailbox.put(message)
 
     def offer(self, job: Job) -> bool:
         """Hand a request over; False if the mailbox or the request table is full (fail-fast)."""
         if not self.can_accept():
             self.counters.add("requests.fail_fast")
             return False
-        self._box.put_nowait(lambda: self._take(job))
+        self._mailbox.put_nowait(lambda: self._accept(job))
         return True
 
     def can_accept(self) -> bool:
         """Whether ``offer`` would take a request now."""
-        return len(self._jobs) < self.settings.max_open and not self._box.full()
+        return len(self._jobs) < self.settings.max_open and not self._mailbox.full()
 
     def count_eligible(self, class_index: int) -> int:
         """How many destinations may get jobs of a class now."""
@@ -131,35 +131,35 @@
     @property
     def unanswered_jobs(self) -> int:
         """Requests taken that still owe an answer."""
-        return sum(not job.answered for job in self._jobs.values()) + self._box.qsize()
+        return sum(not job.answered for job in self._jobs.values()) + self._mailbox.qsize()
 
     @property
     def open_jobs(self) -> int:
         """Requests taken that still owe an answer or have a call out."""
-        return len(self._jobs) + self._box.qsize()
+        return len(self._jobs) + self._mailbox.qsize()
 
     async def run(self) -> None:
         """Handle messages, timers and deadlines, one at a time, for ever."""
         loop = asyncio.get_running_loop()
         while True:
             message: Callable[[], None] | None = None
-            due = min((heap[0][0] for heap in (self._timers, self._deadlines, self._call_ends) if heap),
+            due = min((heap[0][0] for heap in (self._timers, self._deadlines, self._call_timeouts) if heap),
                       default=1e18)
             try:
-                message = self._box.get_nowait()
+                message = self._mailbox.get_nowait()
             except asyncio.QueueEmpty:
                 wait = (due - self.clock.now()) / 1000.0
                 if wait > 0:
                     try:
                         async with asyncio.timeout_at(loop.time() + min(wait, 3600.0)):
-                            message = await self._box.get()
+                            message = await self._mailbox.get()
                     except TimeoutError:
                         pass
             if message is not None:
-                self._guard(message)
-            self._ring()
+                self._run_guarded(message)
+            self._fire_due()
 
-    def _guard(self, work: Callable[[], None]) -> bool:
+    def _run_guarded(self, work: Callable[[], None]) -> bool:
         """Do something that may raise; whatever it raises ends here, then pay what actions owe."""
         sound = True
         todo: Callable[[], None] | None = work
@@ -169,19 +169,19 @@
             except Exception as error:  # one request's failure must not end the others
                 sound = False
                 self.counters.log("core_failed", repr(error))
-            todo = self._later.popleft() if self._later else None
+            todo = self._deferred.popleft() if self._deferred else None
         return sound
 
-    def _ring(self) -> None:
+    def _fire_due(self) -> None:
         now = self.clock.now()
         while self._timers and self._timers[0][0] <= now:
             token = heappop(self._timers)[2]
-            self._guard(lambda token=token: self.balancer.on_timer(now, token))  # type: ignore[misc]
-        while self._call_ends and self._call_ends[0][0] <= now:
-            call = heappop(self._call_ends)[2]
+            self._run_guarded(lambda token=token: self.balancer.on_timer(now, token))  # type: ignore[misc]
+        while self._call_timeouts and self._call_timeouts[0][0] <= now:
+            call = heappop(self._call_timeouts)[2]
             if call.status is None:
                 call.timed_out = True
-                self._guard(partial(self._call_off, call))
+                self._run_guarded(partial(self._cancel_call, call))
         while self._deadlines and self._deadlines[0][0] <= now:
             job = self._jobs.get(heappop(self._deadlines)[1])
             if job is not None and not job.answered:
@@ -191,7 +191,7 @@
 
     # -- requests --
 
-    def _take(self, job: Job) -> None:
+    def _accept(self, job: Job) -> None:
         now = self.clock.now()
         self.counters.add("requests.taken")
         # Guards against a client with an endless time-out: the Balancer takes the longest wait that it has
@@ -201,62 +201,62 @@
         job.number = self._serial
         self._jobs[job.number] = job
         job.max_calls = self.settings.max_attempts
-        if job.deadline - now <= EARLY_MS:
+        if job.deadline - now <= WATCHDOG_MARGIN_MS:
             self._answer(job, self.refusal())
-            self._settle(job)
+            self._release_if_done(job)
             return
         if not self.fence_holds(job):
-            self._fence_off(job)
+            self._answer_fenced(job)
             return
-        heappush(self._deadlines, (job.deadline - EARLY_MS, job.number))
+        heappush(self._deadlines, (job.deadline - WATCHDOG_MARGIN_MS, job.number))
         # No front tells whose a request is.  Guards against settings with tenants: as the first one's, all were
         # past its quota, and so turned away first.
         nobody = len(self.settings.tenants)
         request = Request(job.number, job.class_index, job.balancer_budget_ms or job.deadline - now, nobody,
                           job.key, 0.0, job.slots, job.memory, job.is_retry)
-        if not self._guard(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
+        if not self._run_guarded(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
             self._give_up(job)
 
     def fence_holds(self, job: Job) -> bool:
         """Whether the job's right to be served holds now; ports ask again before the first and last byte."""
         return job.fence is None or job.fence.holds()
 
-    def _fence_off(self, job: Job) -> None:
+    def _answer_fenced(self, job: Job) -> None:
         """The right to serve this request is gone and nothing of it is out: its final answer, at once."""
         if not job.answered:
             self.counters.add("requests.fenced")
             return_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
             self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job)
                          else Answer(FinalStatus.FAILED))
-            self._drop(job)
+            self._abandon(job)
 
     def fence_lost(self) -> None:
         """A right to serve ended: refuse all that has nothing out; what is out is waited for."""
         for job in [j for j in self._jobs.values() if not j.open_calls and not self.fence_holds(j)]:
-            self._fence_off(job)
+            self._answer_fenced(job)
 
     def client_gone(self, job: Job) -> None:
         """The client left; nothing is owed any more."""
         if not job.answered:
             self.counters.add("requests.client_gone")
-            self._drop(job)
+            self._abandon(job)
 
     def withdraw(self, job: Job) -> None:
         """An operator takes a request back; refused where that is harmless, else it stays."""
         if not job.answered and all(c.never_ran or (c.status is None and not c.written) for c in job.calls):
             self._answer(job, Answer(FinalStatus.REFUSED))
-            self._drop(job)
+            self._abandon(job)
 
-    def _drop(self, job: Job) -> None:
+    def _abandon(self, job: Job) -> None:
         """No answer is owed: the Balancer calls off what is out."""
         job.answered = True
-        self._guard(lambda: self.balancer.on_client_gone(self.clock.now(), job.number))
-        self._settle(job)
+        self._run_guarded(lambda: self.balancer.on_client_gone(self.clock.now(), job.number))
+        self._release_if_done(job)
 
     def _give_up(self, job: Job) -> None:
         """The core's own final answer, where the Balancer gave none."""
         self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(FinalStatus.FAILED))
-        self._drop(job)
+        self._abandon(job)
 
     def _answer(self, job: Job, answer: Answer) -> None:
         if job.answered:
@@ -271,7 +271,7 @@
         except Exception as error:  # a front that fails must not stop the core
             self.counters.log("reply_failed", repr(error))
 
-    def _settle(self, job: Job) -> None:
+    def _release_if_done(self, job: Job) -> None:
         if job.answered and not job.open_calls and job.number in self._jobs:
             del self._jobs[job.number]
             if self.log_request is not None:
@@ -310,7 +310,7 @@
         now = self.clock.now()
         call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
-        if self._left(job):
+        if self._client_left(job):
             self.client_gone(job)  # before the Balancer may choose a retry that nobody waits for
         told = outcome.status
         if outcome.status == Status.OK:
@@ -321,30 +321,31 @@
             self.counters.add("calls.at_fault")
             self._answer(job, Answer(FinalStatus.FAILED))
             told = Status.MOOT
-        sound = self._guard(lambda: self.balancer.on_outcome(
+        sound = self._run_guarded(lambda: self.balancer.on_outcome(
             now, job.number, call.index, told, now - call.sent_at, job.answered, outcome.report))
         if not job.answered and not job.open_calls:
             if not sound:
                 self._give_up(job)
             elif not self.fence_holds(job):
-                self._fence_off(job)  # whatever the Balancer waits for: it may not be sent again
-        self._settle(job)
+                self._answer_fenced(job)  # whatever the Balancer waits for: it may not be sent again
+        self._release_if_done(job)
 
-    def _allowed(self, job: Job, worker: int, now: float) -> Destination | None:
+    def _permitted_destination(self, job: Job, worker: int, now: float) -> Destination | None:
         """The rules on attempts, whoever decides: the destination, or None where a call would break one."""
         destination = self.destinations.get(worker)
         if destination is None or destination.listed.state != WorkerState.READY:
             return None
         if not destination.listed.class_mask >> job.class_index & 1:
             return None
-        if job.answered or now >= job.deadline or self._left(job):
+        if job.answered or now >= job.deadline or self._client_left(job):
             return None
-        if job.open_calls >= (COPIES if self.settings.second_copies else 1) or len(job.calls) >= job.max_calls:
+        if (job.open_calls >= (MAX_CALLS_IN_FLIGHT if self.settings.second_copies else 1)
+                or len(job.calls) >= job.max_calls):
             return None
         return destination if may_run_at(self.settings, job, destination, now) else None
 
     @staticmethod
-    def _left(job: Job) -> bool:
+    def _client_left(job: Job) -> bool:
         return job.client_left_at is not None and job.client_left_at() > 0.0
 
     def check_before_first_byte(self, call: Call) -> Status | None:
@@ -364,7 +365,7 @@
         if not self.fence_holds(call.job):
             self.counters.add("calls.fenced")
             return Status.MOOT
-        if call.job.answered or self._left(call.job) or not may_run_at(
+        if call.job.answered or self._client_left(call.job) or not may_run_at(
                 self.settings, call.job, call.destination, self.clock.now(), call):
             self.counters.add("calls.pointless")
             return Status.MOOT
@@ -379,9 +380,9 @@
             return
         now = self.clock.now()
         if not job.open_calls and not self.fence_holds(job):
-            self._later.append(partial(self._fence_off, job))
+            self._deferred.append(partial(self._answer_fenced, job))
             return
-        destination = self._allowed(job, worker, now)
+        destination = self._permitted_destination(job, worker, now)
         if destination is None:
             self.counters.log("calls.not_allowed", job.ident)
             call = Call(job, len(job.calls), self.destinations.get(worker) or NO_DESTINATION, now, now)
@@ -389,9 +390,9 @@
             # It has a number at the Balancer, so it has one here: else the outcomes of later ones are
             # told under the numbers of others.
             job.calls.append(call)
-            if self._left(job):
-                self._later.append(partial(self.client_gone, job))  # its front has yet to say so
-            self._later.append(lambda: self.balancer.on_outcome(
+            if self._client_left(job):
+                self._deferred.append(partial(self.client_gone, job))  # its front has yet to say so
+            self._deferred.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
         ends = min(job.deadline, now + timeout_ms) if timeout_ms > 0 else job.deadline
@@ -405,10 +406,10 @@
             self.counters.log("port_failed", repr(error))
             outcome = Outcome(Status.CONNECT_FAILED)
         if outcome is not None:
-            self._later.append(partial(self.call_ended, call, outcome))
+            self._deferred.append(partial(self.call_ended, call, outcome))
         elif ends < job.deadline:
             self._serial += 1
-            heappush(self._call_ends, (ends, self._serial, call))
+            heappush(self._call_timeouts, (ends, self._serial, call))
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         """Final answer: refused.  A refusal that would be untrue is sent as a failure."""
@@ -420,7 +421,7 @@
             if job.fence is not None and not job.fence.holds():
                 retry_after_ms = job.fence.retry_after_ms
             self._answer(job, Answer(ending, retry_after_ms=retry_after_ms))
-            self._settle(job)
+            self._release_if_done(job)
 
     def fail(self, request: int) -> None:
         """Final answer: failed."""
@@ -428,19 +429,19 @@
         if job is not None:
             job.give_up_reason = f":{self.balancer.give_up_reason}"
             self._answer(job, Answer(FinalStatus.FAILED))
-            self._settle(job)
+            self._release_if_done(job)
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for a call."""
         job = self._jobs.get(request)
         if job is not None and 0 <= attempt < len(job.calls):
-            self._call_off(job.calls[attempt])
+            self._cancel_call(job.calls[attempt])
 
-    def _call_off(self, call: Call) -> None:
+    def _cancel_call(self, call: Call) -> None:
         if call.status is None:
             outcome = self.ports[call.destination.source].cancel(call)
             if outcome is not None:
-                self._later.append(partial(self.call_ended, call, outcome))
+                self._deferred.append(partial(self.call_ended, call, outcome))
 
     def set_timer(self, delay_ms: float, token: int) -> None:
         """Ask for a timer event."""
@@ -451,13 +452,13 @@
         """Check a destination."""
         destination = self.destinations.get(worker)
         if destination is None:
-            self._later.append(lambda: self.balancer.on_probe_result(
+            self._deferred.append(lambda: self.balancer.on_probe_result(
                 self.clock.now(), worker, Status.CONNECT_FAILED, 0.0, ()))
             return
         self.counters.add("probes.sent")
         known = self.ports[destination.source].probe(destination)
         if known is not None:
-            self._later.append(partial(self.probe_ended, destination, known[0], 0.0, known[1]))
+            self._deferred.append(partial(self.probe_ended, destination, known[0], 0.0, known[1]))
 
     def probe_ended(self, destination: Destination, status: Status, took_ms: float,
                report: tuple[float, ...]) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -333,6 +333,6 @@
     core.ports["test"] = Port()
     core.update_destinations("test", ListKind.CHANGES, [ListedDestination("w1", "", WorkerState.READY)])
     for i in range(200):
-        core._take(Job(f"r{i}", 0, core.clock.now(), 4000.0, lambda answer: None))
+        core._accept(Job(f"r{i}", 0, core.clock.now(), 4000.0, lambda answer: None))
     assert core.balancer.jobs
     assert not any(job.over_share for job in core.balancer.jobs.values())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -270,7 +270,7 @@
     def crossed(self: http.Outbound, call: Call) -> None:
         start(self, call)
         cores.append(self.core)
-        self.core._later.append(lambda: self.core.client_gone(call.job))
+        self.core._deferred.append(lambda: self.core.client_gone(call.job))
 
     monkeypatch.setattr(http.Outbound, "start", crossed)
 
@@ -425,7 +425,7 @@
     send = Core.send
     monkeypatch.setattr(http.Connection, "finish", slow)
     monkeypatch.setattr(Core, "send", lambda core, request, worker, _: send(core, request, worker, 400.0))
-    monkeypatch.setattr(Core, "_call_off", lambda core, call: None)  # the port's own clock is first
+    monkeypatch.setattr(Core, "_cancel_call", lambda core, call: None)  # the port's own clock is first
     play(ONE + """
         c send job vyuctovani r1 0123456789
         w expect 0123456789
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -320,8 +320,8 @@
     core = Core(read_settings({**SETTINGS, "me": 0, "balancers": 1}), 1, Clock(), Counters())
     core.update_destinations("discovery", ListKind.FULL,
                 [ListedDestination(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
-    while not core._box.empty():
-        core._box.get_nowait()()
+    while not core._mailbox.empty():
+        core._mailbox.get_nowait()()
     assert set(core.balancer.fleet.workers) == {worker_number(i) for i in range(30)}
 
 
