--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -1,9 +1,9 @@
-"""The module's actor: owns the Balancer, the clock, the timers, the destinations and the request table.
+"""The core actor: owns the Balancer, the clock, the timers, the destinations and the table of open requests.
 
-It turns events into calls on the Balancer and the Balancer's actions into calls on ports.  It knows no
-wire and must never import a front.  Every request that it takes gets one final answer by its deadline,
-whatever the Balancer or a port raises, and no action of the Balancer can break the rules on attempts:
-``_allowed`` is asked before every outbound call.
+It passes events to the Balancer and carries out the Balancer's actions through the ports.  It is independent of
+wire protocols and must never import a front end.  Every request that it accepts gets exactly one final answer by
+its deadline, even if the Balancer or a port raises.  No action of the Balancer can break the rules on attempts:
+``_permitted_destination`` is checked before every outbound call.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 from .ops.retune import first, follow, settings_for
 from .request_log import describe
 
-MAILBOX_SIZE = 4096  # messages; requests past it are refused, everything else waits for room
-MAX_CALLS_IN_FLIGHT = 2  # attempts of a request that may be out together where the settings allow second copies
-WATCHDOG_MARGIN_MS = 2.0  # the watchdog answers this long before a deadline that the Balancer let come
+MAILBOX_SIZE = 4096  # messages; when it is full, requests are refused and all other senders wait
+MAX_CALLS_IN_FLIGHT = 2  # concurrent attempts of one request, where the settings allow second copies
+WATCHDOG_MARGIN_MS = 2.0  # before its deadline, a request that the Balancer left unanswered is answered
 
 
 class Core:
-    """The actor.  Fronts and ports reach it by ``offer`` and ``post`` only."""
+    """The core actor.  Front ends and ports hand it work only through ``offer`` and ``post``."""
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, counters: Counters,
                  class_names: Sequence[str] = (), name: str = "") -> None:
-        """``class_names``: as figures name the classes of the settings; ``name``: the scheduler's."""
+        """``class_names``: names of the settings' classes in statistics; ``name``: the scheduler's name."""
         self.settings = settings
         self.class_table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
         self.figures = Figures()
@@ -67,12 +67,12 @@
         self.ports: dict[str, CallPort] = {}
         self.list_port: ListPort | None = None
         self.peer_port: PeerPort | None = None
-        self.log_request: Callable[[str], None] | None = None  # takes a line on each request that is done with
+        self.log_request: Callable[[str], None] | None = None  # gets one line per finished request
         self._mailbox: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX_SIZE)
-        self._deferred: deque[Callable[[], None]] = deque()  # what actions owe the Balancer, after its call
+        self._deferred: deque[Callable[[], None]] = deque()  # events for the Balancer, once its call returns
         self._timers: list[tuple[float, int, int]] = []
         self._deadlines: list[tuple[float, int]] = []
-        self._call_timeouts: list[tuple[float, int, Call]] = []  # of calls that end before their request
+        self._call_timeouts: list[tuple[float, int, Call]] = []  # where before the request's deadline
         self._serial = 0
         self._jobs: dict[int, Job] = {}
         self.balancer = Balancer(clock.now(), settings, seed, self)
@@ -81,11 +81,11 @@
     # -- the mailbox --
 
     async def post(self, message: Callable[[], None]) -> None:
-        """Hand a message over; waits while the mailbox is full."""
+        """Put a message into the mailbox; waits while it is full."""
         await self._mailbox.put(message)
 
     def offer(self, job: Job) -> bool:
-        """Hand a request over; False if the mailbox or the request table is full (fail-fast)."""
+        """Submit a request; False if the mailbox or the request table is full (fail-fast)."""
         if not self.can_accept():
             self.counters.add("requests.fail_fast")
             return False
@@ -93,65 +93,65 @@
         return True
 
     def can_accept(self) -> bool:
-        """Whether ``offer`` would take a request now."""
+        """Whether ``offer`` would accept a request now."""
         return len(self._jobs) < self.settings.max_open and not self._mailbox.full()
 
     def count_eligible(self, class_index: int) -> int:
-        """How many destinations may get jobs of a class now."""
+        """The number of destinations that may now receive jobs of a class."""
         return self.destinations.count_eligible(class_index)
 
-    def reject(self, job: Job, return_ms: float = 1e9) -> Answer:
-        """A refusal at the door: the core never takes the job, but it is counted."""
+    def reject(self, job: Job, retry_after_ms: float = 1e9) -> Answer:
+        """Refuse a job that is not offered to the core, and count it."""
         self.figures.ended(self.class_names[job.class_index], FinalStatus.REFUSED.value)
-        return self.refusal(return_ms)
+        return self.refusal(retry_after_ms)
 
-    def refusal(self, return_ms: float = 1e9) -> Answer:
-        """A refusal of the core's own, with a time to return where the settings allow one."""
-        return_ms = min(return_ms, self.settings.max_retry_after_ms)
-        return Answer(FinalStatus.REFUSED, retry_after_ms=return_ms if self.settings.retry_after else 0.0)
+    def refusal(self, retry_after_ms: float = 1e9) -> Answer:
+        """A refusal that the Balancer did not decide, with a retry-after time where the settings allow one."""
+        retry_after_ms = min(retry_after_ms, self.settings.max_retry_after_ms)
+        return Answer(FinalStatus.REFUSED, retry_after_ms=retry_after_ms if self.settings.retry_after else 0.0)
 
     @property
     def class_names(self) -> tuple[str, ...]:
-        """The name of each class by its number, also of classes that are no more."""
+        """Class names by class index, including classes that a reload has removed."""
         return self.class_table.names
 
     def apply_settings(self, settings: Settings, names: Sequence[str], keep_rows: bool = False) -> None:
-        """Follow new settings: open jobs keep the rules that they came under.
+        """Apply new settings; open jobs keep the class rules under which they were accepted.
 
-        ``keep_rows``: somebody else holds numbers of classes too, so that none may get another meaning.
+        ``keep_rows``: never reuse a class index, because a front end stores class indexes as well.
         """
-        busy = (set(range(len(self.class_table.rows))) if keep_rows
-                else {j.class_index for j in self._jobs.values()})
-        self.class_table, fresh = follow(self.class_table, settings.classes, names, busy)
+        busy_rows = (set(range(len(self.class_table.rows))) if keep_rows
+                     else {j.class_index for j in self._jobs.values()})
+        self.class_table, new_rows = follow(self.class_table, settings.classes, names, busy_rows)
         self.settings = settings_for(self.settings, settings, self.class_table)
         self.figures.know(names)
         self.destinations.classes_changed()
-        self.balancer.on_settings(self.settings, fresh)
+        self.balancer.on_settings(self.settings, new_rows)
 
     @property
     def unanswered_jobs(self) -> int:
-        """Requests taken that still owe an answer."""
+        """The number of accepted requests without a final answer."""
         return sum(not job.answered for job in self._jobs.values()) + self._mailbox.qsize()
 
     @property
     def open_jobs(self) -> int:
-        """Requests taken that still owe an answer or have a call out."""
+        """The number of accepted requests without a final answer, or with a call still in flight."""
         return len(self._jobs) + self._mailbox.qsize()
 
     async def run(self) -> None:
-        """Handle messages, timers and deadlines, one at a time, for ever."""
+        """Process messages, timers and deadlines, one at a time, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             message: Callable[[], None] | None = None
-            due = min((heap[0][0] for heap in (self._timers, self._deadlines, self._call_timeouts) if heap),
-                      default=1e18)
+            next_due = min((heap[0][0] for heap in (self._timers, self._deadlines, self._call_timeouts) if heap),
+                           default=1e18)
             try:
                 message = self._mailbox.get_nowait()
             except asyncio.QueueEmpty:
-                wait = (due - self.clock.now()) / 1000.0
-                if wait > 0:
+                wait_s = (next_due - self.clock.now()) / 1000.0
+                if wait_s > 0:
                     try:
-                        async with asyncio.timeout_at(loop.time() + min(wait, 3600.0)):
+                        async with asyncio.timeout_at(loop.time() + min(wait_s, 3600.0)):
                             message = await self._mailbox.get()
                     except TimeoutError:
                         pass
@@ -160,17 +160,20 @@
             self._fire_due()
 
     def _run_guarded(self, work: Callable[[], None]) -> bool:
-        """Do something that may raise; whatever it raises ends here, then pay what actions owe."""
-        sound = True
-        todo: Callable[[], None] | None = work
-        while todo is not None:
+        """Run ``work``, then the steps that were deferred meanwhile; False if one of them raised.
+
+        Exceptions are logged and go no further.
+        """
+        succeeded = True
+        step: Callable[[], None] | None = work
+        while step is not None:
             try:
-                todo()
-            except Exception as error:  # one request's failure must not end the others
-                sound = False
+                step()
+            except Exception as error:  # the failure of one request must not affect the others
+                succeeded = False
                 self.counters.log("core_failed", repr(error))
-            todo = self._deferred.popleft() if self._deferred else None
-        return sound
+            step = self._deferred.popleft() if self._deferred else None
+        return succeeded
 
     def _fire_due(self) -> None:
         now = self.clock.now()
@@ -185,7 +188,7 @@
         while self._deadlines and self._deadlines[0][0] <= now:
             job = self._jobs.get(heappop(self._deadlines)[1])
             if job is not None and not job.answered:
-                # Guards against a Balancer that raised or forgot: the client is owed an answer now.
+                # The Balancer raised or lost the request: the client still gets an answer in time.
                 self.counters.log("answered_by_watchdog", job.ident)
                 self._give_up(job)
 
@@ -194,8 +197,9 @@
     def _accept(self, job: Job) -> None:
         now = self.clock.now()
         self.counters.add("requests.taken")
-        # Guards against a client with an endless time-out: the Balancer takes the longest wait that it has
-        # seen of a class for a first try's, and would hold everybody else's for hopelessly late retries.
+        # A client's timeout is capped at the deadline of the class.  The Balancer assumes that the longest
+        # remaining time seen in a class is that of a first attempt: an endless one would make all other requests
+        # of the class look like hopelessly late retries.
         job.deadline = job.received_at + min(job.left_ms, self.settings.classes[job.class_index].deadline_ms)
         self._serial += 1
         job.number = self._serial
@@ -209,52 +213,52 @@
             self._answer_fenced(job)
             return
         heappush(self._deadlines, (job.deadline - WATCHDOG_MARGIN_MS, job.number))
-        # No front tells whose a request is.  Guards against settings with tenants: as the first one's, all were
-        # past its quota, and so turned away first.
-        nobody = len(self.settings.tenants)
-        request = Request(job.number, job.class_index, job.balancer_budget_ms or job.deadline - now, nobody,
+        # No front end identifies the tenant of a request, so it gets the number after the last tenant.  Counted as
+        # the first tenant's, all requests would exceed that tenant's quota and be refused first.
+        no_tenant = len(self.settings.tenants)
+        request = Request(job.number, job.class_index, job.balancer_budget_ms or job.deadline - now, no_tenant,
                           job.key, 0.0, job.slots, job.memory, job.is_retry)
         if not self._run_guarded(lambda: self.balancer.on_request(now, request)) and not job.open_calls:
             self._give_up(job)
 
     def fence_holds(self, job: Job) -> bool:
-        """Whether the job's right to be served holds now; ports ask again before the first and last byte."""
+        """Whether the job's fence holds now; ports check it again before the first and the last byte."""
         return job.fence is None or job.fence.holds()
 
     def _answer_fenced(self, job: Job) -> None:
-        """The right to serve this request is gone and nothing of it is out: its final answer, at once."""
+        """Answer a request at once whose fence no longer holds and that has no call in flight."""
         if not job.answered:
             self.counters.add("requests.fenced")
-            return_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
-            self._answer(job, self.refusal(return_ms) if may_repeat(self.settings, job)
+            retry_after_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
+            self._answer(job, self.refusal(retry_after_ms) if may_repeat(self.settings, job)
                          else Answer(FinalStatus.FAILED))
             self._abandon(job)
 
     def fence_lost(self) -> None:
-        """A right to serve ended: refuse all that has nothing out; what is out is waited for."""
+        """A fence was lost: answer its requests without a call in flight; the others wait for their calls."""
         for job in [j for j in self._jobs.values() if not j.open_calls and not self.fence_holds(j)]:
             self._answer_fenced(job)
 
     def client_gone(self, job: Job) -> None:
-        """The client left; nothing is owed any more."""
+        """The client disconnected; no answer is due any more."""
         if not job.answered:
             self.counters.add("requests.client_gone")
             self._abandon(job)
 
     def withdraw(self, job: Job) -> None:
-        """An operator takes a request back; refused where that is harmless, else it stays."""
+        """Refuse a request at an operator's command, unless an attempt may have run; then it stays open."""
         if not job.answered and all(c.never_ran or (c.status is None and not c.written) for c in job.calls):
             self._answer(job, Answer(FinalStatus.REFUSED))
             self._abandon(job)
 
     def _abandon(self, job: Job) -> None:
-        """No answer is owed: the Balancer calls off what is out."""
+        """Mark a request as answered and have the Balancer cancel its calls."""
         job.answered = True
         self._run_guarded(lambda: self.balancer.on_client_gone(self.clock.now(), job.number))
         self._release_if_done(job)
 
     def _give_up(self, job: Job) -> None:
-        """The core's own final answer, where the Balancer gave none."""
+        """Give the final answer in place of the Balancer, which gave none."""
         self._answer(job, self.refusal() if may_repeat(self.settings, job) else Answer(FinalStatus.FAILED))
         self._abandon(job)
 
@@ -268,7 +272,7 @@
         self.figures.ended(self.class_names[job.class_index], answer.final_status.value)
         try:
             job.reply(answer)
-        except Exception as error:  # a front that fails must not stop the core
+        except Exception as error:  # a failing front end must not stop the core
             self.counters.log("reply_failed", repr(error))
 
     def _release_if_done(self, job: Job) -> None:
@@ -280,26 +284,26 @@
     # -- calls --
 
     def call_written(self, call: Call) -> None:
-        """A port wrote the last byte of a call."""
+        """Called by a port when it wrote the last byte of a call."""
         self.figures.dispatched(self.class_names[call.job.class_index])
 
     def forward_update(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
-        """News of a call for the front that took its request."""
+        """Pass an update on a call to the front end that received the request."""
         if call.status is None and not call.job.answered and call.job.on_update is not None:
             call.job.on_update(kind, data)
 
     def call_started(self, call: Call) -> None:
-        """A worker began a call."""
+        """A worker started to run a call."""
         call.started_at = self.clock.now()
         self.forward_update(call, "started", ())
         self.balancer.on_started(self.clock.now(), call.job.number, call.index)
 
     def call_progressed(self, call: Call, share: float) -> None:
-        """A share of a call is done."""
+        """A worker reported progress; ``share`` is from 0 to 1."""
         self.balancer.on_progress(self.clock.now(), call.job.number, call.index, share)
 
     def call_ended(self, call: Call, outcome: Outcome) -> None:
-        """A call ended; the first that is served is the request's answer."""
+        """A call ended; the first successful one is the request's answer."""
         job = call.job
         if call.status is not None:
             return
@@ -311,27 +315,27 @@
         call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
         if self._client_left(job):
-            self.client_gone(job)  # before the Balancer may choose a retry that nobody waits for
-        told = outcome.status
+            self.client_gone(job)  # first, lest the Balancer retry for a client that is gone
+        reported_status = outcome.status
         if outcome.status == Status.OK:
             self._answer(job, Answer(FinalStatus.SERVED, outcome.body))
         elif outcome.request_invalid:
-            # Guards against clients whose requests every worker turns down: sent on four times each, they
-            # had well workers ruled out as failing.  It says nothing of the worker, and none would do better.
+            # The worker rejected the request itself, as any other would: no retry, and no failure of the worker.
+            # Sent on four times each, such requests had healthy workers ejected as failing.
             self.counters.add("calls.at_fault")
             self._answer(job, Answer(FinalStatus.FAILED))
-            told = Status.MOOT
-        sound = self._run_guarded(lambda: self.balancer.on_outcome(
-            now, job.number, call.index, told, now - call.sent_at, job.answered, outcome.report))
+            reported_status = Status.MOOT
+        handled = self._run_guarded(lambda: self.balancer.on_outcome(
+            now, job.number, call.index, reported_status, now - call.sent_at, job.answered, outcome.report))
         if not job.answered and not job.open_calls:
-            if not sound:
+            if not handled:
                 self._give_up(job)
             elif not self.fence_holds(job):
-                self._answer_fenced(job)  # whatever the Balancer waits for: it may not be sent again
+                self._answer_fenced(job)  # it may not be sent again, whatever the Balancer plans
         self._release_if_done(job)
 
     def _permitted_destination(self, job: Job, worker: int, now: float) -> Destination | None:
-        """The rules on attempts, whoever decides: the destination, or None where a call would break one."""
+        """The destination of a call, or None if the call would break a rule on attempts."""
         destination = self.destinations.get(worker)
         if destination is None or destination.listed.state != WorkerState.READY:
             return None
@@ -349,19 +353,20 @@
         return job.client_left_at is not None and job.client_left_at() > 0.0
 
     def check_before_first_byte(self, call: Call) -> Status | None:
-        """Asked by a port before the first byte of a call: None if it may be written, else why not.
+        """Checked by a port before it writes the first byte of a call: None, or the status to end the call with.
 
-        Guards against what happens while a call waits for its connection: its worker drains, goes or is
-        restarted, its client leaves, the window in which a repeat is harmless ends.
+        While a call waits for a connection, its worker may start to drain, disappear or restart, its client may
+        disconnect, or the window may end in which a repeat is harmless.
         """
-        listed, at = call.destination.listed, call.listed_at_send or call.destination.listed
-        if listed.state != WorkerState.READY or (listed.addr, listed.started_ms) != (at.addr, at.started_ms):
+        listed, sent_as = call.destination.listed, call.listed_at_send or call.destination.listed
+        if listed.state != WorkerState.READY or (
+                listed.addr, listed.started_ms) != (sent_as.addr, sent_as.started_ms):
             self.counters.add("calls.overtaken")
             return Status.FULL
         return self.check_before_last_byte(call)
 
     def check_before_last_byte(self, call: Call) -> Status | None:
-        """Asked again before the last byte: a drain does not count any more, as the call has begun."""
+        """Checked again before the last byte.  A worker that started to drain still gets a call that has begun."""
         if not self.fence_holds(call.job):
             self.counters.add("calls.fenced")
             return Status.MOOT
@@ -387,11 +392,11 @@
             self.counters.log("calls.not_allowed", job.ident)
             call = Call(job, len(job.calls), self.destinations.get(worker) or NO_DESTINATION, now, now)
             call.status = Status.MOOT
-            # It has a number at the Balancer, so it has one here: else the outcomes of later ones are
-            # told under the numbers of others.
+            # The Balancer has numbered this attempt.  Without an entry here, the outcomes of later attempts
+            # would be reported under the wrong numbers.
             job.calls.append(call)
             if self._client_left(job):
-                self._deferred.append(partial(self.client_gone, job))  # its front has yet to say so
+                self._deferred.append(partial(self.client_gone, job))  # the front end has not reported it yet
             self._deferred.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
@@ -412,15 +417,15 @@
             heappush(self._call_timeouts, (ends, self._serial, call))
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
-        """Final answer: refused.  A refusal that would be untrue is sent as a failure."""
+        """Final answer: refused; or failed, if an attempt may have run and a repeat could do harm."""
         job = self._jobs.get(request)
         if job is not None:
-            ending = FinalStatus.REFUSED if may_repeat(self.settings, job) else FinalStatus.FAILED
+            final_status = FinalStatus.REFUSED if may_repeat(self.settings, job) else FinalStatus.FAILED
             job.give_up_reason = f":{self.balancer.give_up_reason}"
             self.counters.add("given_up.tried" if job.calls else "given_up.untried")
             if job.fence is not None and not job.fence.holds():
                 retry_after_ms = job.fence.retry_after_ms
-            self._answer(job, Answer(ending, retry_after_ms=retry_after_ms))
+            self._answer(job, Answer(final_status, retry_after_ms=retry_after_ms))
             self._release_if_done(job)
 
     def fail(self, request: int) -> None:
@@ -432,7 +437,7 @@
             self._release_if_done(job)
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Stop waiting for a call."""
+        """Cancel a call."""
         job = self._jobs.get(request)
         if job is not None and 0 <= attempt < len(job.calls):
             self._cancel_call(job.calls[attempt])
@@ -444,21 +449,21 @@
                 self._deferred.append(partial(self.call_ended, call, outcome))
 
     def set_timer(self, delay_ms: float, token: int) -> None:
-        """Ask for a timer event."""
+        """Schedule a timer event for the Balancer."""
         self._serial += 1
         heappush(self._timers, (self.clock.now() + delay_ms, self._serial, token))
 
     def probe(self, worker: int) -> None:
-        """Check a destination."""
+        """Probe a destination."""
         destination = self.destinations.get(worker)
         if destination is None:
             self._deferred.append(lambda: self.balancer.on_probe_result(
                 self.clock.now(), worker, Status.CONNECT_FAILED, 0.0, ()))
             return
         self.counters.add("probes.sent")
-        known = self.ports[destination.source].probe(destination)
-        if known is not None:
-            self._deferred.append(partial(self.probe_ended, destination, known[0], 0.0, known[1]))
+        result = self.ports[destination.source].probe(destination)
+        if result is not None:
+            self._deferred.append(partial(self.probe_ended, destination, result[0], 0.0, result[1]))
 
     def probe_ended(self, destination: Destination, status: Status, took_ms: float,
                report: tuple[float, ...]) -> None:
@@ -472,61 +477,61 @@
             self.ports[destination.source].close_idle(destination)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a datagram to a peer, or all (-1)."""
+        """Send a datagram to one peer; -1: to all."""
         if self.peer_port is not None:
             self.peer_port.send_to_peer(peer, data)
 
     def log(self, text: str) -> None:
-        """Add a line to the log."""
+        """Log a line for the Balancer."""
         self.counters.log("logic", text)
 
     def watch(self, on: bool) -> None:
-        """Ask discovery for changes, or stop."""
+        """Start or stop watching discovery for changes."""
         if self.list_port is not None:
             self.list_port.watch(on)
 
     def fetch(self) -> None:
-        """Ask discovery for the whole list."""
+        """Request the full list from discovery."""
         if self.list_port is not None:
             self.list_port.fetch()
 
     # -- the destination set and the peers --
 
     def update_destinations(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> None:
-        """A source named destinations; FULL and CACHED name all of that source's."""
+        """A source listed destinations; FULL and CACHED lists contain all of that source's."""
         now = self.clock.now()
         self.destinations.observe_clock(self.clock.wall_clock_step_ms())
-        told_kind, told = self.destinations.update(now, source, kind, entries)
+        kind_for_balancer, workers = self.destinations.update(now, source, kind, entries)
         self.counters.add("lists.taken")
         if kind != ListKind.CACHED:
             self.discovery_answered()
-        self.balancer.on_workers(now, told_kind, told)
+        self.balancer.on_workers(now, kind_for_balancer, workers)
 
     def discovery_answered(self) -> None:
-        """Discovery answered, with news or without."""
+        """Discovery answered, with or without changes."""
         self.destinations.source_answered(self.clock.now())
 
     def _forget(self, destination: Destination) -> None:
         self.ports[destination.source].forget(destination)
 
     def ever_listed(self, name: str) -> bool:
-        """Whether a source has named a destination, now or before."""
+        """Whether a source lists a destination now or has done so before."""
         return self.destinations.ever_listed(name)
 
     def apply_operator_changes(self, names: Iterable[str]) -> None:
-        """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
+        """Operators disabled or enabled destinations: those listed drain, or get their reported state back."""
         now = self.clock.now()
-        told = self.destinations.apply_operator_changes(now, names)
-        self.balancer.on_workers(now, ListKind.CHANGES, told)
+        workers = self.destinations.apply_operator_changes(now, names)
+        self.balancer.on_workers(now, ListKind.CHANGES, workers)
 
     def export_state(self) -> bytes:
-        """What a successor may go on from."""
+        """The state that a successor process can start from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
         return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.class_table.live), names,
                      self.clock.unix_offset_ms)
 
     def import_state(self, data: bytes) -> bool:
-        """Go on from what a process of this scheduler left; False if there is nothing to believe."""
+        """Start from the state that an earlier process of this scheduler left; False if it is not usable."""
         page = read(data, self.outs.scheduler, self.clock.now(), self.clock.unix_offset_ms)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
@@ -534,17 +539,18 @@
         return page is not None
 
     def count_targets(self) -> tuple[int, int]:
-        """How many destinations are listed, and how many of them are out by hand or ruled out for now."""
+        """The numbers of listed destinations, and of those disabled by operators or ejected for now."""
         now = self.clock.now()
-        known = self.balancer.fleet.workers
-        avoided = sum(self.outs.holds(d.listed.name) or (d.number in known and known[d.number].ejected_until > now)
-                      for d in self.destinations.by_number.values())
-        return len(self.destinations.by_number), avoided
+        workers = self.balancer.fleet.workers
+        disabled = sum(self.outs.holds(d.listed.name)
+                       or (d.number in workers and workers[d.number].ejected_until > now)
+                       for d in self.destinations.by_number.values())
+        return len(self.destinations.by_number), disabled
 
     def discovery_failed(self) -> None:
         """A call to discovery failed."""
         self.balancer.on_workers(self.clock.now(), ListKind.FAILED, ())
 
     def receive_peer_message(self, sender: int, data: bytes) -> None:
-        """A datagram from a peer."""
+        """A datagram from a peer arrived."""
         self.balancer.on_peer(self.clock.now(), sender, data)
