--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -43,7 +43,7 @@
 from .ops.legacy import leave, read, take
 from .ops.out import Outs
 from .ops.retune import first, follow, settings_for
-from .request_log import describe
+from .request_log import format_request
 
 MAILBOX_SIZE = 4096  # messages; when it is full, requests are refused and all other senders wait
 MAX_CALLS_IN_FLIGHT = 2  # concurrent attempts of one request, where the settings allow second copies
@@ -279,7 +279,7 @@
         if job.answered and not job.open_calls and job.number in self._jobs:
             del self._jobs[job.number]
             if self.log_request is not None:
-                self.log_request(describe(job))
+                self.log_request(format_request(job))
 
     # -- calls --
 
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -1,7 +1,7 @@
-"""The destinations that sources name: the numbers by which the decisions know them, and their states.
+"""The table of listed destinations: their states, and the numbers that identify them to the Balancer.
 
-Pure: no I/O, no clock.  A destination is known by its source and its name; its number is the same at every
-scheduler.  It must never send to one, nor decide which is used.
+Pure: no I/O, no clock.  A destination is identified by its source and name; its number is the same at every
+scheduler.  The table must never send to a destination, nor decide which one is used.
 """
 
 from __future__ import annotations
@@ -15,78 +15,78 @@
 from .ops.out import Outs
 from .start_times import StartTimes
 
-EVER_MOST = 65_536  # names of destinations that were once listed; the longest unlisted is forgotten
+MAX_REMEMBERED_NAMES = 65_536  # names of destinations ever listed; the one unlisted for the longest is dropped
 
 
 class DestinationTable:
-    """Owns the destinations, by number."""
+    """The listed destinations, by number."""
 
     def __init__(self, outs: Outs, forget: Callable[[Destination], None]) -> None:
-        """``outs``: who is out by hand; ``forget`` is called with each that restarts, moves or goes."""
+        """``outs``: workers disabled by operators; ``forget`` is called for each that restarts, moves or goes."""
         self.outs = outs
         self.by_number: dict[int, Destination] = {}
         self._forget = forget
-        self._numbers: dict[tuple[str, str], int] = {}  # by source and name
-        self._ever: dict[str, None] = {}  # names that a source has given, the longest unlisted first
+        self._numbers: dict[tuple[str, str], int] = {}  # by (source, name)
+        self._names_seen: dict[str, None] = {}  # every name ever listed, the one unlisted for the longest first
         self._starts = StartTimes()
-        self._able: dict[int, int] = {}  # what ``able`` counted, until the destinations change
+        self._eligible: dict[int, int] = {}  # cache of ``count_eligible``, cleared when destinations change
 
     def get(self, number: int) -> Destination | None:
-        """A destination that is listed."""
+        """A listed destination by its number."""
         return self.by_number.get(number)
 
     def count_eligible(self, class_index: int) -> int:
-        """How many destinations may get jobs of a class now."""
-        known = self._able.get(class_index)
-        if known is None:
-            known = self._able[class_index] = sum(
+        """The number of destinations that may now receive jobs of a class."""
+        count = self._eligible.get(class_index)
+        if count is None:
+            count = self._eligible[class_index] = sum(
                 d.listed.state == WorkerState.READY and bool(d.listed.class_mask >> class_index & 1)
                 for d in self.by_number.values())
-        return known
+        return count
 
     def classes_changed(self) -> None:
-        """Other classes are in force."""
-        self._able.clear()
+        """The classes in force changed."""
+        self._eligible.clear()
 
     def ever_listed(self, name: str) -> bool:
-        """Whether a source has named a destination, now or before."""
-        return name in self._ever
+        """Whether a source lists a destination now or has done so before."""
+        return name in self._names_seen
 
     def observe_clock(self, ahead_ms: float) -> None:
-        """The wall clock is ahead of the monotonic one by so much now."""
+        """Record by how many ms the wall clock is now ahead of the scheduler's clock."""
         self._starts.record_wall_clock(ahead_ms)
 
     def source_answered(self, now: float) -> None:
-        """Discovery answered, with news or without."""
+        """Discovery answered, with or without changes."""
         self._starts.record_answer(now)
 
     def update(self, now: float, source: str, kind: int, entries: Sequence[ListedDestination]
              ) -> tuple[int, list[ListedWorker]]:
-        """Follow what a source named; FULL and CACHED name all of that source's.
+        """Apply a list from a source; FULL and CACHED lists contain all of that source's destinations.
 
-        The kind of list and the entries that the decisions are to follow.
+        Returns the kind of list and the entries for the Balancer.
         """
-        self._able.clear()
-        entries = list({e.name: e for e in entries}.values())  # named twice: the last word counts
-        changes = entries + self._unnamed(source, kind, entries)
+        self._eligible.clear()
+        entries = list({e.name: e for e in entries}.values())  # the last entry of a name counts
+        changes = entries + self._removed(source, kind, entries)
         self._remember(entries)
-        told = [self._follow(now, source, e) for e in changes
-                if e.state != WorkerState.GONE or (source, e.name) in self._numbers]
+        workers = [self._apply(now, source, e) for e in changes
+                   if e.state != WorkerState.GONE or (source, e.name) in self._numbers]
         if kind in (ListKind.FULL, ListKind.CACHED) and any(s != source for s, _ in self._numbers):
-            kind = ListKind.CHANGES  # the decisions must not drop what other sources named
+            kind = ListKind.CHANGES  # the Balancer must not drop the other sources' destinations
         if kind != ListKind.CHANGES:
-            told = [t for t in told if t.state != WorkerState.GONE]
-        return kind, told
+            workers = [w for w in workers if w.state != WorkerState.GONE]
+        return kind, workers
 
     def apply_operator_changes(self, now: float, names: Iterable[str]) -> list[ListedWorker]:
-        """Destinations went out by hand or came back: those that are listed drain, or are as listed."""
-        wanted = set(names)
-        self._able.clear()
-        return [self._follow(now, d.source, replace(d.listed, state=d.reported_state))
-                for d in list(self.by_number.values()) if d.listed.name in wanted]
-
-    def _unnamed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> list[ListedDestination]:
-        """Those of a source that its whole list does not name any more."""
+        """Operators disabled or enabled destinations: those listed drain, or get their reported state back."""
+        changed = set(names)
+        self._eligible.clear()
+        return [self._apply(now, d.source, replace(d.listed, state=d.reported_state))
+                for d in list(self.by_number.values()) if d.listed.name in changed]
+
+    def _removed(self, source: str, kind: int, entries: Sequence[ListedDestination]) -> list[ListedDestination]:
+        """GONE entries for destinations of a source that are missing from its full list."""
         if kind not in (ListKind.FULL, ListKind.CACHED):
             return []
         known = {name for s, name in self._numbers if s == source}
@@ -95,38 +95,38 @@
 
     def _remember(self, entries: Sequence[ListedDestination]) -> None:
         for entry in entries:
-            self._ever.pop(entry.name, None)
-            self._ever[entry.name] = None
-        while len(self._ever) > max(EVER_MOST, len(self.by_number)):
-            del self._ever[next(iter(self._ever))]
+            self._names_seen.pop(entry.name, None)
+            self._names_seen[entry.name] = None
+        while len(self._names_seen) > max(MAX_REMEMBERED_NAMES, len(self.by_number)):
+            del self._names_seen[next(iter(self._names_seen))]
 
-    def _follow(self, now: float, source: str, entry: ListedDestination) -> ListedWorker:
-        """Take one entry in; as the decisions are to know it."""
+    def _apply(self, now: float, source: str, entry: ListedDestination) -> ListedWorker:
+        """Apply one entry; returns it as the Balancer gets it."""
         number = self._number(source, entry.name)
-        known = self.by_number.get(number)
-        if known is None:
-            known = Destination(number, source, entry, identity=worker_identity(source, entry.name))
-            self.by_number[number] = known
+        destination = self.by_number.get(number)
+        if destination is None:
+            destination = Destination(number, source, entry, identity=worker_identity(source, entry.name))
+            self.by_number[number] = destination
         elif entry.state == WorkerState.GONE or (entry.addr, entry.started_ms) != (
-                known.listed.addr, known.listed.started_ms):
-            self._forget(known)
+                destination.listed.addr, destination.listed.started_ms):
+            self._forget(destination)
         if entry.state == WorkerState.GONE:
-            known.listed.state = WorkerState.GONE
+            destination.listed.state = WorkerState.GONE
             del self._numbers[source, entry.name], self.by_number[number]
         else:
-            known.reported_state = entry.state
+            destination.reported_state = entry.state
             if entry.state == WorkerState.READY and self.outs.holds(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
-            known.listed = entry
+            destination.listed = entry
         started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
         return ListedWorker(entry.state, entry.kind, entry.cell, entry.weight, entry.zone, number,
-                            started_at, entry.class_mask, known.identity)
+                            started_at, entry.class_mask, destination.identity)
 
     def _number(self, source: str, name: str) -> int:
-        """The number of a destination, given now if it has none.
+        """The number of a destination, assigned now if it has none.
 
-        Guards against gateways that number workers by the order of their lists: the decisions draw by these
-        numbers, and a key has one home only if every gateway draws alike.
+        It is a hash of source and name, not the position in a list: the Balancer draws workers by these numbers,
+        and a key is sent to the same worker by all schedulers only if their draws agree.
         """
         number = self._numbers.get((source, name))
         if number is None:
--- a/gaphub/tasks.py
+++ b/gaphub/tasks.py
@@ -1,6 +1,6 @@
-"""Owns the tasks of a part of the program, so that each is given back in one place.
+"""Owns the asyncio tasks of one component, so that all of them are cancelled and awaited in one place.
 
-It must never start a task of its own, nor let one fail unseen.
+It must never start a task on its own, nor let one fail without a log line.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 from .metrics import Counters
 
-CANCEL_AGAIN_S = 0.5  # a task that is to end and has not by then is cancelled once more
+RECANCEL_INTERVAL_S = 0.5  # a cancelled task that still runs after this time is cancelled again
 
 
 class Tasks:
-    """Owns the tasks of one part; ``close`` is where all of them are given back."""
+    """The tasks of one component; ``close`` ends all of them."""
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine as a task of this owner."""
-        task = asyncio.create_task(work)
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Run a coroutine as a task of this component."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._done)
         return task
@@ -34,8 +34,9 @@
             self._counters.log("task_failed", repr(error))
 
     async def close(self) -> None:
-        """Cancel what still runs and wait for its end."""
+        """Cancel the tasks that still run and wait until they have ended."""
         while self._tasks:
             for task in self._tasks:
                 task.cancel()
-            await asyncio.wait(self._tasks, timeout=CANCEL_AGAIN_S)  # one may have taken it for another's end
+            # A task may have taken its cancellation for that of something it awaits, and swallowed it.
+            await asyncio.wait(self._tasks, timeout=RECANCEL_INTERVAL_S)
