--- a/gaphub/ops/shelf.py
+++ b/gaphub/ops/shelf.py
@@ -1,8 +1,8 @@
-"""Owns what the processes of one scheduler leave each other in ``$TMPDIR``: who is out by hand, and who serves.
+"""Files in ``$TMPDIR`` that the processes of one scheduler share: overrides, state snapshot and serving locks.
 
-It writes a page whole or not at all and reads it when it changes.  That a process serves is said by a lock that
-ends with it, however it ends.  It must never believe a page that is torn, old or another scheduler's, and never
-stop the scheduler: a page that cannot be written is counted.
+Files are replaced atomically and read when they change.  A serving process holds an advisory lock, which the
+kernel releases however the process ends.  Files that are corrupt, too old or of another scheduler are ignored.  A
+file that cannot be written is counted and never stops the scheduler.
 """
 
 from __future__ import annotations
@@ -19,161 +19,162 @@
 from ..metrics import Counters
 from .out import WorkerOverrides
 
-LOOK_S = 0.05  # between two looks at the page: well within the shortest grace of a drain, 250 ms, and a hold-up
-LEAVE_S = 1.0  # between two pages of what was measured
-PAGE_MOST = 4 * 1024 * 1024  # bytes
+POLL_INTERVAL_S = 0.05  # leaves room for a stall within the shortest drain grace period of 250 ms
+SNAPSHOT_INTERVAL_S = 1.0
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 class SharedFiles:
-    """The page of one scheduler; ``folder``: ``$TMPDIR``, or None: nothing is left to others."""
+    """The shared files of one scheduler; ``folder``: ``$TMPDIR``, or None to share nothing."""
 
     def __init__(self, folder: str | None, overrides: WorkerOverrides, counters: Counters,
-                 changed: Callable[[list[str]], None]) -> None:
+                 on_change: Callable[[list[str]], None]) -> None:
         name = re.sub(r"[^A-Za-z0-9_-]", "_", overrides.scheduler) or "gaphub"
         self._path = Path(folder) / f"gaphub-{name}.out" if folder else None
-        self._own = self._path.with_suffix(f".{os.getpid()}.serving") if self._path else None
-        self._lock = -1  # the descriptor of this process's lock, while it serves
-        self._began_ns = 0
-        self._serves = False
-        self._owed = False  # whether the words have yet to be written
+        self._lock_path = self._path.with_suffix(f".{os.getpid()}.serving") if self._path else None
+        self._lock_fd = -1  # descriptor of this process's serving lock; -1: not held
+        self._serving_since_ns = 0
+        self._serving = False
+        self._save_pending = False  # whether writing the overrides failed and has to be retried
         self._overrides = overrides
         self._counters = counters
-        self._changed = changed
-        self._seen: tuple[int, int, int] | None = None
+        self._on_change = on_change
+        self._last_stat: tuple[int, int, int] | None = None
 
     def save_overrides(self) -> None:
-        """Write the words down, and what another process wrote meanwhile with them."""
+        """Write the overrides, merged with those that another process has written meanwhile."""
         if self._path is None:
             return
         self.poll_overrides()
-        self._owed = not self._write(self._path, self._overrides.encode(), lasting=True)
-        if not self._owed:
-            self._seen = self._state()
+        self._save_pending = not self._write(self._path, self._overrides.encode(), durable=True)
+        if not self._save_pending:
+            self._last_stat = self._file_stat()
 
-    def _write(self, path: Path, data: bytes, lasting: bool = False) -> bool:
-        """A page, whole or not at all; whether it was written, and synced where it is to be ``lasting``."""
-        own = path.with_suffix(f".{os.getpid()}.new")
+    def _write(self, path: Path, data: bytes, durable: bool = False) -> bool:
+        """Replace a file atomically, synced to disk if ``durable``; whether it was written."""
+        temporary = path.with_suffix(f".{os.getpid()}.new")
         try:
-            with open(own, "wb") as file:
+            with open(temporary, "wb") as file:
                 file.write(data)
-                if lasting:
+                if durable:
                     file.flush()
                     os.fsync(file.fileno())
-            os.replace(own, path)
+            os.replace(temporary, path)
         except OSError as error:
             self._counters.log("ops.not_written", str(error))
             with suppress(OSError):
-                own.unlink()
+                temporary.unlink()
             return False
         return True
 
-    def _pay(self) -> None:
-        """Do what could not be done before: a folder may fail for a while, and what was said yes to is owed."""
-        if self._owed:
+    def _retry_writes(self) -> None:
+        """Retry failed writes: the folder may fail for a while, and accepted overrides must still be saved."""
+        if self._save_pending:
             self.save_overrides()
-        if self._serves and self._lock < 0:
+        if self._serving and self._lock_fd < 0:
             self.start_serving()
 
-    # -- what a process has measured --
+    # -- the state snapshot --
 
     def read_state_snapshot(self) -> bytes:
-        """The page that a process left last; empty: none."""
+        """The content of the last snapshot; empty if there is none."""
         if self._path is None:
             return b""
         try:
             path = self._path.with_suffix(".legacy")
-            return path.read_bytes() if path.stat().st_size <= PAGE_MOST else b""
+            return path.read_bytes() if path.stat().st_size <= MAX_FILE_BYTES else b""
         except OSError:
             return b""
 
-    async def write_state_snapshots(self, make: Callable[[], bytes]) -> None:
-        """Leave a page every second, for ever."""
+    async def write_state_snapshots(self, encode: Callable[[], bytes]) -> None:
+        """Write a snapshot every ``SNAPSHOT_INTERVAL_S``, for ever."""
         while self._path is not None:
-            await asyncio.sleep(LEAVE_S)
-            self._write(self._path.with_suffix(".legacy"), make())
+            await asyncio.sleep(SNAPSHOT_INTERVAL_S)
+            self._write(self._path.with_suffix(".legacy"), encode())
 
-    def _state(self) -> tuple[int, int, int] | None:
+    def _file_stat(self) -> tuple[int, int, int] | None:
         assert self._path is not None
         try:
-            found = self._path.stat()
+            stat = self._path.stat()
         except OSError:
             return None
-        return found.st_ino, found.st_mtime_ns, found.st_size
+        return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
     def poll_overrides(self) -> None:
-        """Take in what another process wrote since the last look; write anew what it had not heard of."""
-        if self._path is None or (state := self._state()) == self._seen or state is None:
+        """Merge overrides that another process has written; rewrite the file if it lacks any of this process's."""
+        if self._path is None or (stat := self._file_stat()) == self._last_stat or stat is None:
             return
-        self._seen = state
+        self._last_stat = stat
         try:
-            data = self._path.read_bytes() if state[2] <= PAGE_MOST else b""
+            data = self._path.read_bytes() if stat[2] <= MAX_FILE_BYTES else b""
         except OSError:
             return
-        words = self._overrides.decode(data)
-        if words is None:
+        overrides = self._overrides.decode(data)
+        if overrides is None:
             self._counters.log("ops.page_not_believed", f"{len(data)} bytes")
             return
-        if changed := self._overrides.merge(words):
+        if changed := self._overrides.merge(overrides):
             self._counters.add("ops.words_taken", len(changed))
-            self._changed(changed)
-        if self._overrides.entries() != words:
-            self.save_overrides()  # written at the same moment as another's: both hold the whole again after this
+            self._on_change(changed)
+        if self._overrides.entries() != overrides:
+            self.save_overrides()  # after simultaneous writes the file has all overrides again
 
-    # -- who serves --
+    # -- serving locks --
 
     def start_serving(self) -> None:
-        """Say that this process serves from now on, until it ends."""
-        if self._own is None:
+        """Take the serving lock, which marks this process as serving until it ends."""
+        if self._lock_path is None:
             return
-        self._serves = True
-        self._began_ns = self._began_ns or time.monotonic_ns()
+        self._serving = True
+        self._serving_since_ns = self._serving_since_ns or time.monotonic_ns()
         try:
-            self._lock = os.open(self._own, os.O_CREAT | os.O_RDWR, 0o600)
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.ftruncate(self._lock, 0)
-            os.write(self._lock, b"%d" % self._began_ns)
+            self._lock_fd = os.open(self._lock_path, os.O_CREAT | os.O_RDWR, 0o600)
+            fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            os.ftruncate(self._lock_fd, 0)
+            os.write(self._lock_fd, b"%d" % self._serving_since_ns)
         except OSError as error:
             self._counters.log("ops.not_written", str(error))
 
     def others_serving_since_ns(self) -> list[int]:
-        """When each other process of this scheduler that serves began to; ns (monotonic), 0: unknown."""
+        """When each other serving process of this scheduler started to serve; monotonic ns, 0 if unknown."""
         if self._path is None:
             return []
-        locks = self._path.parent.glob(f"{self._path.stem}.*.serving")
-        return [_began_ns(path) for path in locks if path != self._own and _held(path)]
+        lock_paths = self._path.parent.glob(f"{self._path.stem}.*.serving")
+        return [_read_serving_since_ns(path) for path in lock_paths
+                if path != self._lock_path and _is_locked(path)]
 
     @property
     def is_oldest(self) -> bool:
-        """Whether this process began to serve before all others of this scheduler that do."""
-        return all(began == 0 or began > self._began_ns for began in self.others_serving_since_ns())
+        """Whether this process started to serve before all other serving processes of this scheduler."""
+        return all(since == 0 or since > self._serving_since_ns for since in self.others_serving_since_ns())
 
     def close(self) -> None:
-        """Say that this process serves no longer."""
-        if self._owed:
+        """Release the serving lock, after a last attempt to save overrides that are not written yet."""
+        if self._save_pending:
             self.save_overrides()
-        self._serves = False
-        if self._own is not None and self._lock >= 0:
+        self._serving = False
+        if self._lock_path is not None and self._lock_fd >= 0:
             with suppress(OSError):
-                self._own.unlink()
-            os.close(self._lock)
-            self._lock = -1
+                self._lock_path.unlink()
+            os.close(self._lock_fd)
+            self._lock_fd = -1
 
     async def run(self) -> None:
-        """Look now and then, for ever."""
+        """Poll the overrides and retry failed writes every ``POLL_INTERVAL_S``, for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self.poll_overrides()
-            self._pay()
+            self._retry_writes()
 
 
-def _held(path: Path) -> bool:
-    """Whether the process that made a lock lives; what a dead one left is taken away."""
+def _is_locked(path: Path) -> bool:
+    """Whether a live process holds this lock; the file of a dead process is removed."""
     try:
-        number = os.open(path, os.O_RDWR)
+        descriptor = os.open(path, os.O_RDWR)
     except OSError:
         return False
     try:
-        fcntl.flock(number, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         return True
     else:
@@ -181,11 +182,11 @@
             path.unlink()
         return False
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
-def _began_ns(path: Path) -> int:
-    """What a process has written into its lock; 0 where that cannot be read."""
+def _read_serving_since_ns(path: Path) -> int:
+    """The start time that a process has written into its lock file; 0 if it cannot be read."""
     try:
         return int(path.read_bytes()[:32])
     except (OSError, ValueError):
