--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -102,7 +102,7 @@
 
     def reject(self, job: Job, retry_after_ms: float = 1e9) -> Answer:
         """Refuse a job that is not offered to the core, and count it."""
-        self.job_stats.count_ending(self.class_names[job.class_index], FinalStatus.REFUSED.value)
+        self.job_stats.count_final_status(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(retry_after_ms)
 
     def refusal(self, retry_after_ms: float = 1e9) -> Answer:
@@ -269,7 +269,7 @@
         job.final_status = answer.final_status.value + job.give_up_reason
         job.answered_after_ms = self.clock.now() - job.received_at
         self.counters.add(f"requests.{answer.final_status.value}")
-        self.job_stats.count_ending(self.class_names[job.class_index], answer.final_status.value)
+        self.job_stats.count_final_status(self.class_names[job.class_index], answer.final_status.value)
         try:
             job.reply(answer)
         except Exception as error:  # a failing front end must not stop the core
@@ -542,7 +542,7 @@
         """The numbers of listed destinations, and of those disabled by operators or ejected for now."""
         now = self.clock.now()
         workers = self.balancer.fleet.workers
-        disabled = sum(self.overrides.is_out(d.listed.name)
+        disabled = sum(self.overrides.is_disabled(d.listed.name)
                        or (d.number in workers and workers[d.number].ejected_until > now)
                        for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), disabled
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -115,7 +115,7 @@
             del self._numbers[source, entry.name], self.by_number[number]
         else:
             destination.reported_state = entry.state
-            if entry.state == WorkerState.READY and self.overrides.is_out(entry.name):
+            if entry.state == WorkerState.READY and self.overrides.is_disabled(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             destination.listed = entry
         started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
--- a/gaphub/ops/figures.py
+++ b/gaphub/ops/figures.py
@@ -31,9 +31,9 @@
             counts = self._replies[name] = {"success": 0, "overload": 0, "error": 0, "dispatches": 0}
         return counts
 
-    def count_ending(self, name: str, ending: str) -> None:
+    def count_final_status(self, name: str, final_status: str) -> None:
         """Count a job's final answer: ``served``, ``refused`` or ``failed``."""
-        self._counts_of(name)[REPLY_NAMES[ending]] += 1
+        self._counts_of(name)[REPLY_NAMES[final_status]] += 1
 
     def count_dispatch(self, name: str) -> None:
         """Count an attempt whose last byte was written to a worker."""
--- a/gaphub/ops/out.py
+++ b/gaphub/ops/out.py
@@ -39,7 +39,7 @@
         self.scheduler = scheduler
         self._entries: dict[str, Override] = {}
 
-    def is_out(self, worker: str) -> bool:
+    def is_disabled(self, worker: str) -> bool:
         """Whether a worker is out of service."""
         override = self._entries.get(worker)
         return override is not None and override.out
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -232,9 +232,9 @@
     assert a.entries() == b.entries()
     late = max((w.at for w in a.entries()), default=0.0)
     a.record(late - 50.0, "a", True)  # a clock that was put back: the operator's word holds all the same
-    assert a.is_out("a")
+    assert a.is_disabled("a")
     b.merge(a.entries())
-    assert b.is_out("a")
+    assert b.is_disabled("a")
 
 
 @given(st.binary(max_size=40), st.integers(0, 10_000))
