--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store without sockets: last writer, bounds, garble, and convergence over a bad network."""
+"""The store without sockets: last writer wins, bounds, malformed datagrams, convergence over a lossy network."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 NOW = 1_700_000_000_000.0
 
 
-def all_of(store: Store, now: float = NOW) -> dict[str, bytes]:
+def live_entries(store: Store, now: float = NOW) -> dict[str, bytes]:
     return dict(store.items("", now))
 
 
-class Net:
-    """Stores that send each other datagrams, of which many are lost, doubled or late."""
+class Network:
+    """Stores connected by a network that loses, duplicates and delays datagrams."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.3) -> None:
         self.rng = random.Random(seed)
         self.loss = loss
         self.stores = [self.new(i, count) for i in range(count)]
-        self.flight: list[tuple[int, int, bytes]] = []
+        self.in_flight: list[tuple[int, int, bytes]] = []
         self.now = NOW
 
     def new(self, node: int, count: int) -> Store:
@@ -36,72 +36,73 @@
                 store.add_peer(peer)
         return store
 
-    def send(self, a: int, b: int, data: bytes) -> None:
+    def send(self, sender: int, receiver: int, data: bytes) -> None:
         assert len(data) <= MAX_DATAGRAM_BYTES
         for _ in range(2):
             if self.rng.random() > self.loss:
-                self.flight.append((a, b, data))
+                self.in_flight.append((sender, receiver, data))
 
     def round(self) -> None:
         self.now += 1000.0
-        for a, store in enumerate(self.stores):
-            b = self.rng.randrange(len(self.stores))
-            if a != b:
-                for data in [*store.pending_updates(b, 2), store.digest()]:
-                    self.send(a, b, data)
-        for _ in range(len(self.flight)):  # in any order; some stay for later rounds
+        for sender, store in enumerate(self.stores):
+            receiver = self.rng.randrange(len(self.stores))
+            if sender != receiver:
+                for data in [*store.pending_updates(receiver, 2), store.digest()]:
+                    self.send(sender, receiver, data)
+        for _ in range(len(self.in_flight)):  # delivered in random order; some stay for later rounds
             if self.rng.random() < 0.8:
-                a, b, data = self.flight.pop(self.rng.randrange(len(self.flight)))
-                for answer in self.stores[b].receive(a, data, self.now):
-                    self.send(b, a, answer)
+                sender, receiver, data = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
+                for answer in self.stores[receiver].receive(sender, data, self.now):
+                    self.send(receiver, sender, answer)
 
-    def agree(self, rounds: int) -> bool:
+    def converge(self, rounds: int) -> bool:
         for _ in range(rounds):
             self.round()
-            if all(all_of(s, self.now) == all_of(self.stores[0], self.now) for s in self.stores):
+            if all(live_entries(s, self.now) == live_entries(self.stores[0], self.now) for s in self.stores):
                 return True
         return False
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_stores_converge_after_loss_reordering_and_a_restart_from_nothing(seed: int) -> None:
-    net = Net(3, seed)
+    network = Network(3, seed)
     for i in range(120):
-        store = net.stores[net.rng.randrange(3)]
-        store.put(f"k{net.rng.randrange(60)}", b"%d" % i, net.now + i, net.rng.choice([0.0, 3_600_000.0]))
+        store = network.stores[network.rng.randrange(3)]
+        store.put(f"k{network.rng.randrange(60)}", b"%d" % i, network.now + i,
+                  network.rng.choice([0.0, 3_600_000.0]))
         if i % 17 == 0:
-            store.delete(f"k{net.rng.randrange(60)}", net.now + i)
+            store.delete(f"k{network.rng.randrange(60)}", network.now + i)
         if i % 10 == 0:
-            net.round()
-    assert net.agree(200)
-    before = all_of(net.stores[0], net.now)
+            network.round()
+    assert network.converge(200)
+    before = live_entries(network.stores[0], network.now)
     assert len(before) > 30
-    net.stores[1] = net.new(1, 3)
-    net.flight.clear()
-    assert net.agree(200)
-    assert all_of(net.stores[1], net.now) == before
+    network.stores[1] = network.new(1, 3)
+    network.in_flight.clear()
+    assert network.converge(200)
+    assert live_entries(network.stores[1], network.now) == before
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), st.integers(0, 3)), max_size=30),
        st.randoms())
 def test_merging_in_any_order_agrees(writes: list[tuple[int, int, int]], rng: random.Random) -> None:
-    made: list[bytes] = []
+    datagrams: list[bytes] = []
     for node in range(3):
         store = Store(node)
         store.add_peer(9)
-        for who, key, tick in writes:
-            if who == node:
+        for writer, key, tick in writes:
+            if writer == node:
                 store.put(f"k{key}", bytes([key, tick]), NOW + tick)
-                made += store.pending_updates(9, 9)
-    found = []
+                datagrams += store.pending_updates(9, 9)
+    results = []
     for _ in range(2):
-        rng.shuffle(made)
+        rng.shuffle(datagrams)
         reader = Store(5)
-        for data in made + made[:3]:
+        for data in datagrams + datagrams[:3]:
             reader.receive(1, data, NOW)
-        found.append(all_of(reader))
-    assert found[0] == found[1]
+        results.append(live_entries(reader))
+    assert results[0] == results[1]
 
 
 def test_the_last_writer_wins_and_a_deleted_value_stays_deleted() -> None:
@@ -140,22 +141,22 @@
     assert len(store) == 50
     assert store.get("config/x", NOW + 5000) == b"1"
     assert store.get("state/4999", NOW + 5000) == b"c"
-    assert len(store._by_expiry) <= 2 * 50 + 65
+    assert len(store._expiry_heap) <= 2 * 50 + 65
     full = Store(0, max_entries=2)
     assert full.put("a", b"", NOW) and full.put("b", b"", NOW)
-    assert not full.put("c", b"", NOW)  # nothing there would ever give way
+    assert not full.put("c", b"", NOW)  # no entry expires, so none can be evicted
     assert not full.put("k" * 97, b"", NOW) and not full.put("a", b"v" * 101, NOW)
 
 
-def entry(stamp: float = NOW, key: bytes = b"k", size: int = 1, gone: int = 0) -> bytes:
-    return MAGIC + b"\x02" + struct.pack(">QHQBBB", int(stamp), 1, 0, gone, len(key), size) + key + b"v"
+def entry_datagram(stamp: float = NOW, key: bytes = b"k", size: int = 1, deleted: int = 0) -> bytes:
+    return MAGIC + b"\x02" + struct.pack(">QHQBBB", int(stamp), 1, 0, deleted, len(key), size) + key + b"v"
 
 
 @pytest.mark.parametrize(
     "data",
-    [b"", MAGIC, b"xx1\x02", MAGIC + b"\x09", MAGIC + b"\x01short", entry(size=9), entry(key=b"\xff"),
-     entry(gone=2), entry()[:-6], entry(key=b"") , entry() + b"rest", MAGIC + b"\x01" + b"a" * 300,
-     entry(stamp=NOW + 2 * MAX_FUTURE_MS)],
+    [b"", MAGIC, b"xx1\x02", MAGIC + b"\x09", MAGIC + b"\x01short", entry_datagram(size=9),
+     entry_datagram(key=b"\xff"), entry_datagram(deleted=2), entry_datagram()[:-6], entry_datagram(key=b""),
+     entry_datagram() + b"rest", MAGIC + b"\x01" + b"a" * 300, entry_datagram(stamp=NOW + 2 * MAX_FUTURE_MS)],
 )
 def test_garbled_datagrams_change_nothing(data: bytes) -> None:
     store = Store(0)
