--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Graphite and collectd: what is written, and that a dead sink changes nothing for the jobs."""
+"""Graphite and collectd: the bytes written, and that a dead sink does not affect jobs."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def parts(packet: bytes) -> list[tuple[int, bytes]]:
-    """The parts of a packet, as the public description of the protocol lays them out."""
-    found = []
+    """The parts of a packet, decoded according to collectd's protocol description."""
+    decoded = []
     while packet:
         kind, size = struct.unpack_from(">HH", packet)
         assert size >= 4
-        found.append((kind, packet[4:size]))
+        decoded.append((kind, packet[4:size]))
         packet = packet[size:]
-    return found
+    return decoded
 
 
 def test_collectd_packets() -> None:
@@ -42,10 +42,10 @@
         (5, b"calls-sent\0"),
         (6, struct.pack(">HBq", 1, 2, 2**40)),
     ]
-    many = collectd_packets("gaphub", "n0", {f"value.number.{i}": i for i in range(200)}, 1.0, 1.0)
-    assert len(many) > 1 and max(map(len, many)) <= MAX_PACKET_BYTES
-    assert sum(kind == 6 for p in many for kind, _ in parts(p)) == 200
-    assert all(parts(p)[0] == (0, b"n0\0") for p in many)
+    packets = collectd_packets("gaphub", "n0", {f"value.number.{i}": i for i in range(200)}, 1.0, 1.0)
+    assert len(packets) > 1 and max(map(len, packets)) <= MAX_PACKET_BYTES
+    assert sum(kind == 6 for packet in packets for kind, _ in parts(packet)) == 200
+    assert all(parts(packet)[0] == (0, b"n0\0") for packet in packets)
 
 
 def sinks(graphite: int, collectd: int) -> str:
@@ -55,12 +55,12 @@
 
 def test_both_sinks_receive_the_counters() -> None:
     async def run() -> None:
-        got: asyncio.Queue[bytes] = asyncio.Queue()
+        datagrams: asyncio.Queue[bytes] = asyncio.Queue()
         lines: asyncio.Queue[bytes] = asyncio.Queue()
 
         class Receiver(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-                got.put_nowait(data)
+                datagrams.put_nowait(data)
 
         async def receive(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while line := await reader.readline():
@@ -76,7 +76,7 @@
             async with asyncio.timeout(5.0):
                 while not (await lines.get()).startswith(b"gaphub.n0.requests.served 1 "):
                     pass
-                while (5, b"requests-served\0") not in parts(await got.get()):
+                while (5, b"requests-served\0") not in parts(await datagrams.get()):
                     pass
         transport.close()
         server.close()
@@ -89,22 +89,22 @@
         stalled: list[asyncio.StreamWriter] = []
 
         async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            stalled.append(writer)  # takes the connection and never reads
+            stalled.append(writer)  # accepts the connection and never reads
 
         server = await asyncio.start_server(stall, "127.0.0.1", 0)
         for graphite in (free_port(), server.sockets[0].getsockname()[1]):
             async with Cast(fronts=sinks(graphite, free_port())) as cast:
                 for i in range(5):
                     await cast.play(JOB.format(f"r{i}") + "wait 30")
-                seen = cast.counters.values
+                counters = cast.counters.values
                 async with asyncio.timeout(5.0):
-                    while not seen["collectd.batches"]:
+                    while not counters["collectd.batches"]:
                         await asyncio.sleep(0.01)
-                    while not (seen["graphite.dropped"] or seen["graphite.batches"]):
+                    while not (counters["graphite.dropped"] or counters["graphite.batches"]):
                         await asyncio.sleep(0.01)
-                assert seen["requests.served"] == 5
+                assert counters["requests.served"] == 5
                 if not stalled:
-                    assert seen["graphite.dropped"] and not seen["graphite.batches"]
+                    assert counters["graphite.dropped"] and not counters["graphite.batches"]
         for writer in stalled:
             writer.transport.abort()
         server.close()
