--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -1,6 +1,7 @@
-"""Starts and ends the real scheduler: wires the parts, listens, and shuts down.
+"""The scheduler process: wires its components, starts them, reloads the configuration, and shuts down.
 
-It owns the order of start and end and the configuration in force; it must never decide or parse anything.
+This module owns the order of startup and shutdown and the configuration in force.  It must never make scheduling
+decisions or parse anything.
 """
 
 from __future__ import annotations
@@ -41,24 +42,26 @@
 if TYPE_CHECKING:
     from .service import ServiceAddress
 
-# What is read at the start only; ``known`` and ``seed`` are news of the start itself.
-STARTING = ("name", "listen", "limits", "peer_listen", "peers", "peers_all", "admin", "zones", "models",
-            "report_fields", "conn_idle_ms", "fronts")
+# Configuration keys that take effect only at startup.  ``known`` and ``seed`` are not compared on a reload: they
+# describe the startup itself.
+STARTUP_ONLY = ("name", "listen", "limits", "peer_listen", "peers", "peers_all", "admin", "zones", "models",
+                "report_fields", "conn_idle_ms", "fronts")
 
 
-UNTOLD_MS = 2_000.0  # a process whose agent is silent is ready all the same with the list that it was started with
+# A process whose discovery agent has not answered is ready after this time, with the list in its configuration.
+DISCOVERY_GRACE_MS = 2_000.0
 
 
-def _structure(settings: Settings) -> dict[str, Any]:
-    """What of the settings is read at the start only."""
+def _startup_settings(settings: Settings) -> dict[str, Any]:
+    """The settings that take effect only at startup."""
     return {f.name: getattr(settings, f.name) for f in fields(settings) if f.name not in (*TAKEN, "classes")}
 
 
 class ConfigReloader:
-    """The one owner of the configuration in force; reads it again each time it is asked to.
+    """Owns the configuration in force and reloads it on request.
 
-    A faulty file changes nothing.  What cannot change while requests are open is named in the log and
-    waits for the next start.
+    An invalid file changes nothing.  Keys that cannot change while requests are open are logged and take effect at
+    the next start.
     """
 
     def __init__(self, config: Config, read: Callable[[], Config], counters: Counters) -> None:
@@ -66,15 +69,15 @@
         self._read = read
         self._counters = counters
         self.requested = asyncio.Event()
-        self.also_reload: list[Callable[[], None]] = []  # what else is read again
+        self.also_reload: list[Callable[[], None]] = []  # run before each reload, e.g. for key files
 
     async def run(self, destinations: DiscoveryClient, core: Core) -> None:
-        """Read the configuration whenever asked; requests to do so that come together are one."""
+        """Reload whenever requested; requests that arrive before the reload starts are served by one reload."""
         while True:
             await self.requested.wait()
             self.requested.clear()
-            for work in self.also_reload:
-                work()
+            for reload in self.also_reload:
+                reload()
             try:
                 new = self._read()
                 check_successor(self.config, new)
@@ -85,94 +88,96 @@
             self._counters.add("reloads.done")
             core.figures.reload_success += 1
             core.apply_settings(new.settings, new.class_names, keep_rows=bool(new.fronts.gearman.listen))
-            waiting = [key for key in STARTING if getattr(new, key) != getattr(self.config, key)]
-            if _structure(new.settings) != _structure(self.config.settings):
-                waiting.append("settings")
-            if waiting:
-                self._counters.log("reloads.need_a_start", ", ".join(waiting))
+            pending = [key for key in STARTUP_ONLY if getattr(new, key) != getattr(self.config, key)]
+            if _startup_settings(new.settings) != _startup_settings(self.config.settings):
+                pending.append("settings")
+            if pending:
+                self._counters.log("reloads.need_a_start", ", ".join(pending))
             self.config = new
             destinations.set_agent(new.discovery)
 
 
-def held_back() -> None:
-    """Keep SIGHUP waiting until there is somebody to hear it.
+def block_sighup() -> None:
+    """Block SIGHUP, so that it stays pending until its handler is installed.
 
-    Guards against new settings that are announced while a process starts: SIGHUP ended it, and one that comes
-    after the file was read must not be forgotten either.
+    A reload may be signalled while the process starts: SIGHUP would kill the process, and one that arrives after
+    the file was read must not be lost either.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 
 def status(config: Config, core: Core, counters: Counters, address: ServiceAddress | None) -> dict[str, Any]:
-    """What ``gaphub status`` shows."""
+    """The values that ``gaphub status`` shows."""
     return {"name": config.name, "version": __version__, "open_jobs": core.open_jobs,
             **(address.status() if address is not None else {}), "counters": counters.snapshot()}
 
 
-def ops_for(listen: Address, config: Config, core: Core, counters: Counters, shelf: Shelf,
-            inbound: Inbound, destinations: DiscoveryClient) -> Ops:
-    """The operators' address, wired to who knows the answers."""
+def create_ops(listen: Address, config: Config, core: Core, counters: Counters, shelf: Shelf,
+               inbound: Inbound, destinations: DiscoveryClient) -> Ops:
+    """The operations endpoint, with the functions that answer its requests."""
 
-    def move(worker: str, out: bool) -> int:
+    def set_disabled(worker: str, disabled: bool) -> int:
         if not core.ever_listed(worker):
             return 404
-        if not core.outs.say(core.clock.now(), worker, out):
+        if not core.outs.say(core.clock.now(), worker, disabled):
             return 507
         shelf.put()
         core.apply_operator_changes([worker])
         return 200
 
-    began = core.clock.now()
+    started_at = core.clock.now()
 
     def ready() -> bool:
-        late = core.clock.now() - began > UNTOLD_MS and core.count_targets()[0] > 0
-        return inbound.handler.ready and (destinations.has_answered or late)
+        grace_over = core.clock.now() - started_at > DISCOVERY_GRACE_MS and core.count_targets()[0] > 0
+        return inbound.handler.ready and (destinations.has_answered or grace_over)
 
     return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
-               lambda: core.figures.show(core.unanswered_jobs, *core.count_targets()), move)
+               lambda: core.figures.show(core.unanswered_jobs, *core.count_targets()), set_disabled)
 
 
 async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: ConfigReloader) -> None:
-    """Serve until ``stop``, then answer all that was taken."""
+    """Serve until ``stop`` is set, then answer all accepted requests."""
     core = Core(config.settings, config.seed, Clock(), counters, config.class_names, config.name)
     if config.fronts.log.requests:
         core.log_request = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
-    # Sessions of the Gearman front take their descriptors from the clients' part.
+    # Sessions of the Gearman front end use file descriptors from the share of the HTTP clients.
     part = 1.0 - gearman.SESSIONS_PART / INBOUND_PART if config.fronts.gearman.listen else 1.0
     inbound = Inbound(config, core, counters, part=part)
     destinations = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
-    gearmen = Gearman(config, core, counters, store, stop.set)
+    gearman_front = Gearman(config, core, counters, store, stop.set)
     sinks = Sinks(config, counters)
     address: ServiceAddress | None = None
-    moving: Inbound | None = None
+    address_inbound: Inbound | None = None
     if config.fronts.cluster.listen:
-        from .service import ServiceAddress  # only here: the platform, where it is off, pays nothing
+        from .service import ServiceAddress  # saves the cost where no cluster is configured
 
         address = ServiceAddress(config, core, counters)
-        address.on_lease_gained = gearmen.took_over
-        address.on_lease_lost = gearmen.refuse_waiting if config.fronts.address.gearman else address.on_lease_lost
-        gearmen.fence = address.fence if config.fronts.address.gearman else None
+        address.on_lease_gained = gearman_front.took_over
+        address.on_lease_lost = (gearman_front.refuse_waiting if config.fronts.address.gearman
+                                 else address.on_lease_lost)
+        gearman_front.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
-            # The clients' part of the sockets is shared by the two listeners.
+            # The two listeners share the clients' sockets.
             inbound = Inbound(config, core, counters, part=0.5 * part)
-            moving = Inbound(config, core, counters, parse_address(config.fronts.address.listen,
-                                                                   "address.listen"), address.fence, 0.5 * part)
-            # An id that is open at one of them is refused at the other.
-            moving.handler.open_ids = inbound.handler.open_ids
+            address_inbound = Inbound(config, core, counters,
+                                      parse_address(config.fronts.address.listen, "address.listen"),
+                                      address.fence, 0.5 * part)
+            # A request id that is open at one listener is refused at the other.
+            address_inbound.handler.open_ids = inbound.handler.open_ids
     admin = Admin(config.fronts.admin, counters, {"status": lambda: {
         **status(config, core, counters, address),
-        **({"gearman": gearmen.status()} if config.fronts.gearman.listen else {})},
+        **({"gearman": gearman_front.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
     shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.outs, counters,
                   core.apply_operator_changes)
-    shelf.look()  # before any list: who is out is not sent to for a moment
-    ops = None if config.admin is None else ops_for(config.admin, config, core, counters, shelf, inbound,
-                                                          destinations)
-    core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearmen}
+    shelf.look()  # before any list, so that nothing is ever sent to a disabled worker
+    ops = None if config.admin is None else create_ops(config.admin, config, core, counters, shelf, inbound,
+                                                      destinations)
+    core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearman_front}
     core.list_port = destinations
     core.peer_port = peers
     destinations.publish_cached()
@@ -181,7 +186,7 @@
     actors = Tasks(counters)
     try:
         await inbound.open()
-        await gearmen.open()
+        await gearman_front.open()
         await peers.open()
         await admin.open()
         if ops is not None:
@@ -191,10 +196,10 @@
         if address is not None:
             await address.open()
             reload.also_reload.append(address.node.reload_keys)
-        if moving is not None:
-            await moving.open()
-        reload.also_reload.append(gearmen.reload_tls)
-        for work in (core.run(), outbound.run(), destinations.run(), gearmen.run(), sinks.run_graphite(),
+        if address_inbound is not None:
+            await address_inbound.open()
+        reload.also_reload.append(gearman_front.reload_tls)
+        for work in (core.run(), outbound.run(), destinations.run(), gearman_front.run(), sinks.run_graphite(),
                      sinks.run_collectd(), sinks.run_log(), reload.run(destinations, core)):
             actors.start(work)
         inbound.handler.ready = True
@@ -203,27 +208,27 @@
         if address is not None:
             address.node.set_ready(True)
         await stop.wait()
-        gearmen.leave()
+        gearman_front.leave()
         peers.announce_leaving()
         if successor := bool(shelf.others_began_ns()):
-            await peers.close()  # the kernel gives datagrams to one of two sockets: they are the successor's now
-        leaves = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
+            await peers.close()  # the kernel delivers a datagram to one of two sockets: leave all to the successor
+        shutdowns = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
         if address is not None:
-            leaves.append(address.hand_over())
-        if moving is not None:
-            leaves.append(moving.leave(lambda: True))
-        await asyncio.gather(*leaves)
+            shutdowns.append(address.hand_over())
+        if address_inbound is not None:
+            shutdowns.append(address_inbound.leave(lambda: True))
+        await asyncio.gather(*shutdowns)
     finally:
         await inbound.close()
         shelf.close()
-        if moving is not None:
-            await moving.close()
+        if address_inbound is not None:
+            await address_inbound.close()
         if address is not None:
             await address.close()
         await admin.close()
         if ops is not None:
             await ops.close()
-        await gearmen.close()
+        await gearman_front.close()
         await actors.close()
         await peers.close()
         await outbound.close()
@@ -231,25 +236,25 @@
 
 
 async def run(config: Config) -> None:
-    """Serve until SIGTERM or SIGINT; on SIGHUP read the configuration again."""
+    """Serve until SIGTERM or SIGINT; on SIGHUP reload the configuration."""
     counters, stop = Counters(), asyncio.Event()
     log = config.fronts.log
     if log.form != "plain":
-        from .logs import make_line_writer  # structlog: only where it is wanted
+        from .logs import make_line_writer  # imports structlog: only where configured
 
         counters.line = make_line_writer(log.form, log.level, config.name)
     reload = ConfigReloader(config, lambda: load(os.environ, again=True), counters)
-    for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.requested)):
-        asyncio.get_running_loop().add_signal_handler(number, asked.set)
+    for signal_number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.requested)):
+        asyncio.get_running_loop().add_signal_handler(signal_number, event.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     await serve(config, counters, stop, reload)
-    held_back()  # from here on nobody hears it again: it must not end in another way what ends well
+    block_sighup()  # its handler ends with the event loop: SIGHUP must not turn a clean exit into a kill
 
 
 def run_service() -> int:
-    """Run; 2 if the configuration cannot be used."""
+    """Run the scheduler; returns the exit status, which is 2 if the configuration is not usable."""
     try:
-        held_back()
+        block_sighup()
         config = load(os.environ)
         gc.freeze()
         gc.set_threshold(50_000, 50, 50)
@@ -262,7 +267,7 @@
 
 
 def main() -> int:
-    """Run; with words on the command line see ``gaphub.cli``."""
+    """Run the scheduler, or with command-line arguments the commands of ``gaphub.cli``."""
     if len(sys.argv) > 1:
         from .cli import gaphub
 
