--- a/gaphub/wire.py
+++ b/gaphub/wire.py
@@ -1,4 +1,7 @@
-"""Framing and records of the simulator's wire.  Nothing here decides anything."""
+"""Frames and records of the simulator's binary protocol.  No decisions are made here.
+
+A frame carries one batch: a header, fixed-size records, and a tail that records refer to by offset and length.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 DETACH, ENDPOINTS, OUTCOME, INBOX, NOTE, GONE, FIRST, PONG, BELL, ATTACH, LEDGER, ASK = range(1, 13)
 
-# The fields of each event, the code first; each unpacks from the start of its record.
+# The layout of each event, unpacked from the start of its record; the first field is the event code.
 EVENTS: dict[int, struct.Struct] = {
     DETACH: struct.Struct(">BI"),
     ENDPOINTS: struct.Struct(">BIBQI"),
@@ -52,43 +55,43 @@
 
 
 class WireError(Exception):
-    """A frame that is not one: what is wrong, in which batch, at which byte of the frame."""
+    """A malformed frame: what is wrong, in which batch, and at which byte of the frame."""
 
-    def __init__(self, what: str, batch: int, offset: int) -> None:
-        super().__init__(f"{what} (batch {batch}, offset {offset})")
+    def __init__(self, problem: str, batch: int, offset: int) -> None:
+        super().__init__(f"{problem} (batch {batch}, offset {offset})")
 
 
 class Frame(NamedTuple):
-    """A batch: its number, its clock, its size in records, and its bytes."""
+    """One batch."""
 
     number: int
-    now: float
-    size: int
-    body: bytes  # records, then the tail
+    now: float  # the simulator's clock, ms
+    size: int  # number of records
+    body: bytes  # the records, then the tail
 
     def records(self) -> list[tuple[Any, ...]]:
-        """The fields of every record, in order; WireError on an unknown code."""
-        out = []
+        """The fields of all records, in order; WireError on an unknown event code."""
+        found = []
         body = self.body
         events = EVENTS
-        for at in range(0, self.size * EVENT_SIZE, EVENT_SIZE):
-            layout = events.get(body[at])
+        for offset in range(0, self.size * EVENT_SIZE, EVENT_SIZE):
+            layout = events.get(body[offset])
             if layout is None:
-                raise WireError(f"unknown event code {body[at]}", self.number, HEADER.size + at)
-            out.append(layout.unpack_from(body, at))
-        return out
+                raise WireError(f"unknown event code {body[offset]}", self.number, HEADER.size + offset)
+            found.append(layout.unpack_from(body, offset))
+        return found
 
     def tail(self, start: int, size: int) -> bytes:
-        """A piece of the tail."""
+        """A field in the tail; WireError if it is out of range."""
         base = self.size * EVENT_SIZE
         if base + start + size > len(self.body):
             raise WireError("tail field out of range", self.number, HEADER.size + base + start)
         return self.body[base + start:base + start + size]
 
 
-def parse_header(head: bytes) -> tuple[int, int, int, float]:
-    """Number, length of the rest, record count and clock; WireError if they do not fit."""
-    number, length, count, now = HEADER.unpack(head)
+def parse_header(header: bytes) -> tuple[int, int, int, float]:
+    """Batch number, length of the rest, record count and clock; WireError if length and count do not match."""
+    number, length, count, now = HEADER.unpack(header)
     rest = length - HEADER.size
     if rest < count * EVENT_SIZE:
         raise WireError(f"length {length} is too short for {count} records", number, 4)
@@ -101,6 +104,6 @@
 
 
 def reply(number: int, records: list[bytes], tail: bytes) -> bytes:
-    """One whole reply frame."""
+    """A complete reply frame."""
     body = b"".join(records)
     return REPLY.pack(number, REPLY.size + len(body) + len(tail), len(records)) + body + tail
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -132,12 +132,12 @@
 
 def test_the_documented_actions() -> None:
     host = benchlink.Host()
-    sink = benchlink.Sink(3, host)
-    sink.send(0x4828A5D3A91C4, 0x03124A07, 80.0)
-    sink.set_timer(500.0, 77)
-    sink.log("two servers known")
-    sink.send_to_peer(-1, b"hi 7")
-    assert host.out == [
+    writer = benchlink.ActionWriter(3, host)
+    writer.send(0x4828A5D3A91C4, 0x03124A07, 80.0)
+    writer.set_timer(500.0, 77)
+    writer.log("two servers known")
+    writer.send_to_peer(-1, b"hi 7")
+    assert host.actions == [
         bytes.fromhex("41 00000003 0004828a5d3a91c4 03124a07 4054000000000000" + "00" * 7),
         bytes.fromhex("45 00000003 407f400000000000 000000000000004d" + "00" * 11),
         bytes.fromhex("49 00000003 00000000 00000011" + "00" * 19),
@@ -148,17 +148,17 @@
 
 def test_every_action_record_has_its_size_and_code() -> None:
     host = benchlink.Host()
-    sink = benchlink.Sink(1, host)
-    sink.refuse(1, 5.0)
-    sink.fail(1)
-    sink.cancel(1, 2)
-    sink.probe(3)
-    sink.close_idle(3)
-    sink.watch(True)
-    sink.fetch()
-    sink.fault("x")
-    assert [r[0] for r in host.out] == [66, 67, 68, 70, 71, 75, 76, 74]
-    assert {len(r) for r in host.out} == {wire.ACTION_SIZE}
+    writer = benchlink.ActionWriter(1, host)
+    writer.refuse(1, 5.0)
+    writer.fail(1)
+    writer.cancel(1, 2)
+    writer.probe(3)
+    writer.close_idle(3)
+    writer.watch(True)
+    writer.fetch()
+    writer.fault("x")
+    assert [r[0] for r in host.actions] == [66, 67, 68, 70, 71, 75, 76, 74]
+    assert {len(r) for r in host.actions} == {wire.ACTION_SIZE}
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
