--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -24,7 +24,7 @@
                     max_attempts=9, second_copies=False)
 
 
-class Port:
+class FakePort:
     """A port that writes down what it is asked, and raises when told to."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
 class World:
     def __init__(self) -> None:
         self.core = Core(SETTINGS, 5, Clock(), Counters())
-        self.port = Port()
+        self.port = FakePort()
         self.core.ports["test"] = self.port
         self.answers: list[Answer] = []
         self.name("w1", "w2", "w3", "w4", "w5", "w6")
@@ -330,7 +330,7 @@
 def test_requests_of_nobody_known_are_within_every_share() -> None:
     tenants = (TenantSettings(quota_per_s=0.001, share=0.5), TenantSettings(quota_per_s=100.0, share=0.5))
     core = Core(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), 5, Clock(), Counters())
-    core.ports["test"] = Port()
+    core.ports["test"] = FakePort()
     core.update_destinations("test", ListKind.CHANGES, [ListedDestination("w1", "", WorkerState.READY)])
     for i in range(200):
         core._accept(Job(f"r{i}", 0, core.clock.now(), 4000.0, lambda answer: None))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -18,7 +18,7 @@
 from gaphub.net.destinations import IMMEDIATE_MAX, IMMEDIATE_PAUSE_S, RETRY_MIN_S
 
 from .scenario import Cast
-from .test_core import Port
+from .test_core import FakePort
 
 
 async def count_calls(answer: dict[str, Any]) -> tuple[int, float]:
@@ -75,7 +75,7 @@
         lists: list[tuple[int, list[ListedDestination]]]) -> None:
     """Entries that are repeated, vanish or come back: the usable workers are those last listed as ready."""
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
-    core.ports = {"discovery": Port()}
+    core.ports = {"discovery": FakePort()}
     for kind, entries in lists:
         core.update_destinations("discovery", kind, entries)
         ready = {n for n, d in core.destinations.by_number.items() if d.listed.state == WorkerState.READY}
@@ -89,7 +89,7 @@
 
 def test_a_list_of_thousands_is_followed_and_let_go_again() -> None:
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
-    core.ports = {"discovery": Port()}
+    core.ports = {"discovery": FakePort()}
     many = [ListedDestination(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
     core.update_destinations("discovery", ListKind.FULL, many)
     assert len(core.balancer.fleet.ready) == 5000
