--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Framing, records, settings, and the host process."""
+"""The simulator adapter: frames, records, settings, and the process on standard input and output."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return layout.pack(code, *fields).ljust(wire.EVENT_SIZE, b"\0")
 
 
-def params(**more: Any) -> bytes:
+def settings_json(**more: Any) -> bytes:
     base: dict[str, Any] = {
         "balancers": 3,
         "me": 0,
@@ -45,11 +45,12 @@
 
 
 def entries(*workers: int) -> bytes:
-    return b"".join(wire.ENTRY.pack(1, 0, 0, 1.0, 0, w, 0.0) for w in workers)
+    return b"".join(wire.ENTRY.pack(1, 0, 0, 1.0, 0, worker, 0.0) for worker in workers)
 
 
 def start(number: int, now: float, insts: list[int], text: bytes | None = None, workers: int = 4) -> bytes:
-    text = params() if text is None else text
+    """A frame that starts instances with a list of workers."""
+    text = settings_json() if text is None else text
     listed = entries(*range(1, workers + 1))
     records = []
     for inst in insts:
@@ -63,7 +64,7 @@
     return event(wire.ASK, inst, job, 0, 0, 0, 5000.0, 0.0, 1.0, 0.0, 0)
 
 
-def talk(data: bytes) -> list[tuple[int, list[bytes], bytes]]:
+def answer(data: bytes) -> list[tuple[int, list[bytes], bytes]]:
     out = io.BytesIO()
     benchlink.serve(io.BytesIO(data), out)
     return replies(out.getvalue())
@@ -169,18 +170,18 @@
     fields = wire.Frame(1, 0.0, 1, record).records()[0]
     assert layout.size <= wire.EVENT_SIZE
     again = layout.unpack(layout.pack(*fields))
-    assert repr(again) == repr(fields)  # nan is not equal to itself
+    assert repr(again) == repr(fields)  # by repr, as NaN is not equal to itself
 
 
 def test_a_request_is_sent_and_answered_in_one_frame() -> None:
-    got = talk(start(1, 1000.0, [0, 1]) + frame(2, 1001.0, [ask(1, 77)]))
+    got = answer(start(1, 1000.0, [0, 1]) + frame(2, 1001.0, [ask(1, 77)]))
     sends = [r for r in got[1][1] if r[0] == 65]
     assert len(sends) == 1
     assert struct.unpack_from(">IQ", sends[0], 1) == (1, 77)
 
 
 def test_lists_are_resolved_by_event_order() -> None:
-    text, one, two = params(), entries(1), entries(2)
+    text, one, two = settings_json(), entries(1), entries(2)
     tail = text + one + two
     records = [
         event(wire.ATTACH, 0, 5, 0, len(text)),
@@ -191,12 +192,12 @@
         event(wire.ENDPOINTS, 0, 1, 2, 0),
         ask(0, 2),
     ]
-    sends = [struct.unpack_from(">IQI", r, 1) for r in talk(frame(1, 5.0, records, tail))[0][1] if r[0] == 65]
+    sends = [struct.unpack_from(">IQI", r, 1) for r in answer(frame(1, 5.0, records, tail))[0][1] if r[0] == 65]
     assert sends == [(0, 1, 1), (0, 2, 2)]
 
 
 def test_kill_and_restart_in_one_batch() -> None:
-    text, listed = params(), entries(1, 2)
+    text, listed = settings_json(), entries(1, 2)
     again = [
         event(wire.DETACH, 0),
         event(wire.ATTACH, 0, 6, 0, len(text)),
@@ -205,9 +206,9 @@
         event(wire.BELL, 0, 1),
         ask(0, 8),
     ]
-    got = talk(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, 7)]) + frame(3, 2.0, again, text + listed))
+    got = answer(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, 7)]) + frame(3, 2.0, again, text + listed))
     assert sum(r[0] == 65 for r in got[2][1]) == 1
-    got = talk(start(1, 0.0, [0]) + frame(2, 1.0, [event(wire.DETACH, 0), ask(0, 7)]))
+    got = answer(start(1, 0.0, [0]) + frame(2, 1.0, [event(wire.DETACH, 0), ask(0, 7)]))
     assert got[1][1] == []
 
 
@@ -216,20 +217,20 @@
         raise RuntimeError("oops")
 
     monkeypatch.setattr(Balancer, "on_request", broken)
-    _, records, tail = talk(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, 7)]))[1]
+    _, records, tail = answer(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, 7)]))[1]
     assert [r[0] for r in records] == [74]
     assert tail.startswith(b"ASK: RuntimeError: oops")
 
 
 def test_impossible_settings_are_a_fault_that_names_the_setting() -> None:
-    _, records, tail = talk(start(1, 0.0, [0], params(me=7)))[0]
+    _, records, tail = answer(start(1, 0.0, [0], settings_json(me=7)))[0]
     assert 74 in [r[0] for r in records]
     assert b"me: 7" in tail
 
 
 def test_settings_defaults_and_words() -> None:
     s = parse_settings(
-        params(
+        settings_json(
             familyInfo={"classStretch": [1.5], "reportX0": "free slots"},
             report={"fields": ["x0", "queue"], "via": "on_probe"},
             deductions={"crossZone": 0.5},
@@ -242,9 +243,9 @@
     assert s.prices == {"cross_zone": 0.5}
     assert s.cold_ms == 20_000.0
     with pytest.raises(ValueError, match="idempotency"):
-        parse_settings(params(grades=[{"slo": 1, "deadline": 1, "idempotency": "odd"}]))
+        parse_settings(settings_json(grades=[{"slo": 1, "deadline": 1, "idempotency": "odd"}]))
     with pytest.raises(ValueError, match=r"grades\[0\].slo"):
-        parse_settings(params(grades=[{"deadline": 1}]))
+        parse_settings(settings_json(grades=[{"deadline": 1}]))
 
 
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
@@ -282,6 +283,7 @@
 
 
 def script(insts: list[int]) -> bytes:
+    """A start frame and 58 more, each with a request per instance, and from number 4 on with an outcome each."""
     data = start(1, 0.0, insts, workers=30)
     for n in range(2, 60):
         records = [ask(i, 1000 * n + i) for i in insts]
@@ -310,5 +312,5 @@
 
 
 def test_a_batch_of_megabytes_is_answered() -> None:
-    got = talk(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, i + 1) for i in range(20_000)]))
+    got = answer(start(1, 0.0, [0]) + frame(2, 1.0, [ask(0, i + 1) for i in range(20_000)]))
     assert sum(r[0] in (65, 66) for r in got[1][1]) == 20_000
