--- a/gaphub/admin.py
+++ b/gaphub/admin.py
@@ -1,7 +1,8 @@
-"""Owns the admin socket: a Unix socket, readable by the daemon's user alone, where a question gets an answer.
+"""The admin socket: a Unix socket, accessible only to the daemon's user, that answers status queries.
 
-One line of JSON ``{"ask": NAME}`` brings one line of JSON; a bad one brings ``{"error": WHY}``.  It must never
-hold anything up: few connections, short lines, and a client that is slow is closed.
+A client sends one line of JSON, ``{"ask": NAME}``, and receives one line of JSON; an invalid query is answered
+with ``{"error": WHY}``.  The number of connections and the line length are limited, and slow clients are
+disconnected, so that the socket never holds up the daemon.
 """
 
 from __future__ import annotations
@@ -17,78 +18,79 @@
 from .config import AdminConfig
 from .metrics import Counters
 
-LINE_MOST = 4096
-CONNECTIONS_MOST = 8
-ASK_S = 2.0
+MAX_LINE_BYTES = 4096
+MAX_CONNECTIONS = 8
+QUERY_TIMEOUT_S = 2.0
 
 
-class Ask(msgspec.Struct):
-    """One question; ``to``: whom it concerns, where the question has one."""
+class Query(msgspec.Struct):
+    """One query; ``to``: the subject of queries that have one."""
 
     ask: str
     to: str = ""
 
 
 class AdminSocket:
-    """The socket; ``answers`` are the questions that it knows."""
+    """The socket; ``answers`` maps each query name to a function that returns its answer."""
 
-    def __init__(self, front: AdminConfig, counters: Counters, answers: Mapping[str, Callable[[], Any]]) -> None:
-        self.path = front.socket
+    def __init__(self, settings: AdminConfig, counters: Counters,
+                 answers: Mapping[str, Callable[[], Any]]) -> None:
+        self.path = settings.socket
         self.counters = counters
         self.answers = answers
         self._server: asyncio.Server | None = None
-        self._open = 0
+        self._open_connections = 0
 
     async def open(self) -> None:
-        """Listen, where a path is set; what a former life left there is replaced."""
+        """Start to listen if a path is set, replacing a socket file that an earlier process left behind."""
         if not self.path:
             return
         with suppress(FileNotFoundError):
             os.unlink(self.path)
-        before = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
-            self._server = await asyncio.start_unix_server(self._serve, self.path, limit=LINE_MOST)
+            self._server = await asyncio.start_unix_server(self._serve, self.path, limit=MAX_LINE_BYTES)
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
 
     async def close(self) -> None:
-        """Give the socket back."""
+        """Stop listening and remove the socket file."""
         if self._server is not None:
             self._server.close()
             with suppress(FileNotFoundError):
                 os.unlink(self.path)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._open += 1
+        self._open_connections += 1
         try:
-            if self._open <= CONNECTIONS_MOST:
-                async with asyncio.timeout(ASK_S):
+            if self._open_connections <= MAX_CONNECTIONS:
+                async with asyncio.timeout(QUERY_TIMEOUT_S):
                     line = await reader.readline()
                     writer.write(msgspec.json.encode(self._answer(line)) + b"\n")
                     await writer.drain()
         except (OSError, TimeoutError, ValueError) as error:
             self.counters.log("admin.failed", repr(error))
         finally:
-            self._open -= 1
+            self._open_connections -= 1
             writer.close()
 
     def _answer(self, line: bytes) -> Any:
         try:
-            ask = msgspec.json.decode(line, type=Ask).ask
+            name = msgspec.json.decode(line, type=Query).ask
         except msgspec.DecodeError as error:
             return {"error": str(error)}
-        answer = self.answers.get(ask)
-        if answer is None:
-            return {"error": f"{ask!r} is none of {', '.join(sorted(self.answers))}"}
-        return answer()
+        get_answer = self.answers.get(name)
+        if get_answer is None:
+            return {"error": f"{name!r} is none of {', '.join(sorted(self.answers))}"}
+        return get_answer()
 
 
-async def ask(path: str, question: str, within_s: float = ASK_S) -> Any:
-    """Ask a daemon; OSError, TimeoutError or ValueError if there is no answer."""
+async def ask(path: str, query: str, within_s: float = QUERY_TIMEOUT_S) -> Any:
+    """Query a daemon; raises OSError, TimeoutError or ValueError if there is no valid answer."""
     async with asyncio.timeout(within_s):
         reader, writer = await asyncio.open_unix_connection(path, limit=4 * 1024 * 1024)
         try:
-            writer.write(msgspec.json.encode({"ask": question}) + b"\n")
+            writer.write(msgspec.json.encode({"ask": query}) + b"\n")
             return msgspec.json.decode(await reader.readline())
         finally:
             writer.close()
