--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -132,7 +132,7 @@
         return inbound.handler.ready and (destinations.has_answered or grace_over)
 
     return OpsServer(listen, counters, max(4, config.limits.sockets // 32), ready,
-               lambda: core.job_stats.snapshot(core.unanswered_jobs, *core.count_targets()), set_disabled)
+                     lambda: core.job_stats.snapshot(core.unanswered_jobs, *core.count_targets()), set_disabled)
 
 
 async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: ConfigReloader) -> None:
@@ -173,10 +173,10 @@
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
     shared_files = SharedFiles(os.environ.get("TMPDIR") if config.admin else None, core.overrides, counters,
-                  core.apply_operator_changes)
+                               core.apply_operator_changes)
     shared_files.poll_overrides()  # before any list, so that nothing is ever sent to a disabled worker
     ops = None if config.admin is None else create_ops(config.admin, config, core, counters, shared_files, inbound,
-                                                      destinations)
+                                                       destinations)
     core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearman_front}
     core.list_port = destinations
     core.peer_port = peers
--- a/gaphub/net/ops.py
+++ b/gaphub/net/ops.py
@@ -30,7 +30,7 @@
 EVICTION_IDLE_S = 0.02  # when all connections are in use, one that has been silent for this long may be evicted
 _WORKER_ID = re.compile(r"[!-~]{1,128}")
 
-SetOut = Callable[[str, bool], int]
+SetDisabled = Callable[[str, bool], int]
 
 
 class InvalidCallError(Exception):
@@ -53,20 +53,20 @@
 
 
 class OpsServer:
-    """The server; ``ready``, ``stats`` and ``set_out`` provide the answers.
+    """The server; ``ready``, ``stats`` and ``set_disabled`` provide the answers.
 
-    ``set_out(id, out)`` takes a worker out of service or puts it back and returns the HTTP status.
+    ``set_disabled(id, disabled)`` takes a worker out of service or puts it back and returns the HTTP status.
     """
 
     def __init__(self, listen: Address, counters: Counters, max_connections: int, ready: Callable[[], bool],
-                 stats: Callable[[], Any], set_out: SetOut) -> None:
+                 stats: Callable[[], Any], set_disabled: SetDisabled) -> None:
         """``max_connections``: limit of concurrent connections; at the limit the oldest silent one is evicted."""
         self.listen = listen
         self.counters = counters
         self.max_connections = max_connections
         self.ready = ready
         self.stats = stats
-        self.set_out = set_out
+        self.set_disabled = set_disabled
         self._listener: socket.socket | None = None
         self._connections: dict[int, _Connection] = {}  # by number, the oldest first
         self._last_number = 0
@@ -194,5 +194,5 @@
             return 200, msgspec.json.encode(self.stats())
         with suppress(UnicodeDecodeError):
             if _WORKER_ID.fullmatch(worker := body.decode("ascii").strip()):
-                return self.set_out(worker, path.endswith("/down")), b""
+                return self.set_disabled(worker, path.endswith("/down")), b""
         raise InvalidCallError(400)
--- a/gaphub/ops/out.py
+++ b/gaphub/ops/out.py
@@ -1,4 +1,4 @@
-"""Operator overrides: workers that operators have taken out of service until they put them back.
+"""Operator overrides: workers that operators disable, taking them out of service, until they enable them again.
 
 Pure: no I/O, no clock.  Each override carries its time, and the latest one per worker wins, whichever process
 recorded it, so that the processes of one scheduler converge in whatever order they merge each other's overrides.
@@ -13,13 +13,13 @@
 
 from .page import add_checksum, decode_checked
 
-# When full, the oldest override of a worker back in service is dropped; if all are out, a new one is refused.
+# When full, the oldest override of an enabled worker is dropped; if all are disabled, a new one is refused.
 MAX_OVERRIDES = 16_384
 FORMAT = "gaphub-out-1"
 
 
 class Override(msgspec.Struct, frozen=True, array_like=True):
-    """The last override of a worker; ``at`` is its Unix time in ms, ``out`` whether it is out of service."""
+    """The last override of a worker; ``at`` is its Unix time in ms, ``out`` whether it is disabled."""
 
     worker: str
     at: float
@@ -40,33 +40,34 @@
         self._entries: dict[str, Override] = {}
 
     def is_disabled(self, worker: str) -> bool:
-        """Whether a worker is out of service."""
+        """Whether operators have disabled a worker."""
         override = self._entries.get(worker)
         return override is not None and override.out
 
-    def record(self, now: float, worker: str, out: bool) -> bool:
+    def record(self, now: float, worker: str, disabled: bool) -> bool:
         """Record an operator's override; False if there is no room for it."""
         previous = self._entries.get(worker)
-        if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_in_service():
+        if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_enabled():
             return False
         # Later than the previous override even if the clock was set back in between.
-        self._entries[worker] = Override(worker, now if previous is None else max(now, previous.at + 1.0), out)
+        self._entries[worker] = Override(worker, now if previous is None else max(now, previous.at + 1.0),
+                                         disabled)
         return True
 
-    def _drop_oldest_in_service(self) -> bool:
-        in_service = [override for override in self._entries.values() if not override.out]
-        if in_service:
-            del self._entries[min(in_service, key=lambda override: override.at).worker]
-        return bool(in_service)
+    def _drop_oldest_enabled(self) -> bool:
+        enabled = [override for override in self._entries.values() if not override.out]
+        if enabled:
+            del self._entries[min(enabled, key=lambda override: override.at).worker]
+        return bool(enabled)
 
     def merge(self, entries: Iterable[Override]) -> list[str]:
-        """Merge another process's overrides; the workers whose service state changed."""
+        """Merge another process's overrides; the workers that were disabled or enabled by it."""
         changed = []
         for override in entries:
             previous = self._entries.get(override.worker)
             if previous is not None and (previous.at, previous.out) >= (override.at, override.out):
                 continue
-            if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_in_service():
+            if previous is None and len(self._entries) >= MAX_OVERRIDES and not self._drop_oldest_enabled():
                 continue
             self._entries[override.worker] = override
             if override.out != (previous is not None and previous.out):
