--- a/gaphub/interface.py
+++ b/gaphub/interface.py
@@ -1,9 +1,9 @@
 """The whole interface of the decision module: settings, events and actions.
 
-An operator's scheduler makes one ``gaphub.logic.Balancer`` for each gateway, hands it a
-:class:`Settings`, a seed and an :class:`Actions`, and calls the balancer's event methods, listed in
-:class:`Events`, in the order in which things happen.  The balancer answers only by calling the
-actions.  Every time is in milliseconds, as a float, on one clock that never goes backwards.
+Each scheduler process creates one ``gaphub.logic.Balancer`` from a :class:`Settings`, a seed and an
+:class:`Actions`, and calls the balancer's event methods, listed in :class:`Events`, in the order in which
+things happen.  The balancer answers only by calling the actions.  All times are in milliseconds, as floats,
+on one clock that never goes backwards.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class Effect(IntEnum):
-    """What a repeat of a request may do."""
+    """Whether a request may be repeated."""
 
-    SAFE = 0  # repeat it as you like
-    KEYED = 1  # a group of workers drops repeats for a while
-    UNSAFE = 2  # must never run twice
+    SAFE = 0  # any number of times
+    KEYED = 1  # within a group of workers that drops repeats, for a limited time
+    UNSAFE = 2  # never: it must not run twice
 
 
 class Group(IntEnum):
-    """The workers that drop each other's repeats of a keyed request."""
+    """The scope in which workers drop repeats of a keyed request: all workers, a zone or a cell."""
 
     ALL = 0
     ZONE = 1
@@ -31,24 +31,24 @@
 
 
 class Status(IntEnum):
-    """How an attempt, or a probe, ended."""
+    """How an attempt or a probe ended."""
 
     OK = 1
     ERROR = 2
-    FULL = 3
+    FULL = 3  # the worker refused it for want of room
     TIMEOUT = 4
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    MOOT = 8  # not sent: the rules on attempts, the client or the deadline stood against it
 
 
-# The endings that prove that an attempt never ran.
+# The statuses that prove that an attempt never ran.
 NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
 
 
 class WorkerState(IntEnum):
-    """What the worker list says of a worker."""
+    """The state of a worker in the worker list."""
 
     GONE = 0
     READY = 1
@@ -56,16 +56,16 @@
 
 
 class ListKind(IntEnum):
-    """What a worker-list event brings."""
+    """What a worker-list event holds."""
 
     CHANGES = 0  # only the entries that changed
     FULL = 1  # the complete list
-    CACHED = 2  # the complete list as it was last known, perhaps stale
-    FAILED = 3  # a watch or a fetch failed, or the watch was dropped; no entries
+    CACHED = 2  # the complete list as last known, possibly stale
+    FAILED = 3  # no entries: a watch or a fetch failed, or the watch was dropped
 
 
 class AttemptEvent(IntEnum):
-    """News of an attempt that is still out."""
+    """An update on an attempt that is still open."""
 
     STARTED = 1
     PROGRESS = 2
@@ -80,14 +80,18 @@
     weight: float
     zone: int
     worker: int
-    ready_at_ms: float  # when it last started; 0 if that was long ago
-    class_mask: int = -1  # the classes that it can run, a bit for each; -1: any
-    identity: int = 0  # the same at every scheduler, whatever order lists had; 0: ``worker`` is
+    ready_at_ms: float  # when it last started; 0: long ago
+    class_mask: int = -1  # the classes that it can run, one bit each; -1: any
+    identity: int = 0  # alike at every scheduler, whatever the order of lists; 0: use ``worker``
 
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """One class of requests.
+
+    A request is on time if it is served within its aim, ``aim_ms`` plus ``aim_stretch`` times its own work.  It
+    then earns ``worth``, after that only ``late_worth``.
+    """
 
     aim_ms: float
     deadline_ms: float
@@ -97,14 +101,14 @@
     group: Group = Group.ALL
     window_ms: float = 0.0
     streamed: bool = False
-    aim_stretch: float = 0.0  # the aim grows by this many times the request's own work
-    kind: int = -1  # the one kind of worker that runs it; -1: any
+    aim_stretch: float = 0.0
+    kind: int = -1  # the only kind of worker that runs it; -1: any
     priority: int = 0
 
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant; ``quota_per_s`` is within its share, over all gateways."""
+    """One tenant; up to ``quota_per_s``, over all schedulers, its requests are within its share."""
 
     quota_per_s: float = 0.0
     share: float = 0.0
@@ -112,7 +116,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a balancer is told once, at its start."""
+    """The settings of a balancer; ``me`` is its number among ``balancers``, all schedulers of the fleet."""
 
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...] = ()
@@ -124,7 +128,7 @@
     tick_ms: float = 1.0
     worth_by_work: bool = False
     over_share_worth: float = 0.1
-    must_ask: bool = False  # the worker list answers only when asked
+    must_ask: bool = False  # the worker list is sent only on request
     ask_within_ms: float = 10_000.0
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 1_000.0
@@ -149,11 +153,11 @@
     queue_order: str = "fifo"
     report_fields: tuple[str, ...] = ()
     reports_in_answers: bool = False
-    reports_in_probes: bool = False  # and nowhere else
+    reports_in_probes: bool = False  # only there
     prices: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Refuse settings that no deployment can mean, naming the setting."""
+        """Reject values that make no sense in any deployment, naming the setting."""
         if not self.classes:
             raise ValueError("classes: at least one class is needed")
         for i, c in enumerate(self.classes):
@@ -184,87 +188,93 @@
 
 
 class Request(NamedTuple):
-    """A client's request, as it comes in."""
+    """A client's request."""
 
     id: int
     class_index: int
-    left_ms: float  # until the client gives up on this try
+    left_ms: float  # time until the client gives up on this try
     tenant: int = 0
-    key: int = 0  # 0: none
-    hint_ms: float = 0.0  # the work to expect, at speed 1; 0: no hint
+    key: int = 0  # names data that its worker needs and then holds; 0: none
+    hint_ms: float = 0.0  # expected running time at speed 1; 0: no hint
     slots: float = 1.0
     memory: float = 0.0
     is_retry: bool = False
 
 
 class Actions(Protocol):
-    """What a balancer may do; its host carries these out in the order of the calls."""
+    """What a balancer may do.  Its host carries the actions out in the order of the calls."""
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
-        """Start an attempt; a request's attempts count 0, 1, 2 ...; 0: until the client gives up."""
+        """Start an attempt; a request's attempts are numbered from 0.
+
+        ``timeout_ms``: 0 lets it run until the client gives up.
+        """
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
-        """Final answer: turned away, and trying again does no harm."""
+        """Give the final answer: refused, and a retry does no harm."""
 
     def fail(self, request: int) -> None:
-        """Final answer: failed, with no promise about its effect."""
+        """Give the final answer: failed; it may have run."""
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for one attempt."""
 
     def set_timer(self, delay_ms: float, token: int) -> None:
-        """Ask for ``on_timer(token)`` after a delay."""
+        """Request a call of ``on_timer(token)`` after a delay."""
 
     def probe(self, worker: int) -> None:
-        """Check a worker."""
+        """Send a worker a health check, which may bring a load report."""
 
     def close_idle(self, worker: int) -> None:
         """Close idle connections to a worker."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a short message to one peer; -1: to all."""
+        """Send a datagram to one other scheduler; -1: to all."""
 
     def log(self, text: str) -> None:
         """Add a line to the operator's log."""
 
     def watch(self, on: bool) -> None:
-        """Ask the worker list for changes from now on, or stop."""
+        """Subscribe to changes of the worker list, or unsubscribe."""
 
     def fetch(self) -> None:
-        """Ask the worker list once for the complete list."""
+        """Request the complete worker list once."""
 
 
 class Events(Protocol):
-    """What a balancer is told.  Events about unknown or finished things are ignored."""
+    """What a balancer is told.  Events about unknown or finished requests and attempts are ignored."""
 
     def on_workers(self, now: float, kind: int, entries: Sequence[ListedWorker]) -> None:
-        """The worker list said something."""
+        """The worker list was received, in full or in part, or a call for it failed."""
 
     def on_request(self, now: float, request: Request) -> None:
-        """A request came in; the balancer owes it one final answer."""
+        """A request came in; the balancer must give it exactly one final answer."""
 
-    def on_started(self, now: float, request: int, attempt: int) -> None:
-        """A worker began to work on an attempt."""
+    def on_started(self, now: float, request: int, attempt_index: int) -> None:
+        """A worker began to run an attempt."""
 
-    def on_progress(self, now: float, request: int, attempt: int, done: float) -> None:
+    def on_progress(self, now: float, request: int, attempt_index: int, done: float) -> None:
         """A share of an attempt is done."""
 
-    def on_stream(self, now: float, request: int, attempt: int) -> None:
-        """A streamed answer began; the attempt belongs to the client now."""
+    def on_stream(self, now: float, request: int, attempt_index: int) -> None:
+        """A streamed answer began: the request counts as answered."""
 
-    def on_outcome(self, now: float, request: int, attempt: int, status: int, latency_ms: float,
+    def on_outcome(self, now: float, request: int, attempt_index: int, status: int, latency_ms: float,
                    closed: bool, report: tuple[float, ...]) -> None:
-        """An attempt ended; ``closed``: the request is over; ``report``: empty if none came."""
+        """An attempt ended.
+
+        ``closed``: the request has its final answer; ``report``: the worker's load report, empty if none came.
+        """
 
     def on_client_gone(self, now: float, request: int) -> None:
-        """The client left; no answer is owed any more."""
+        """The client left: no answer is needed any more."""
 
     def on_timer(self, now: float, token: int) -> None:
         """A timer came due."""
 
-    def on_probe_result(self, now: float, worker: int, status: int, latency_ms: float,
+    def on_probe_result(self, now: float, worker_id: int, status: int, latency_ms: float,
                         report: tuple[float, ...]) -> None:
         """A probe ended."""
 
     def on_peer(self, now: float, sender: int, data: bytes) -> None:
-        """A peer sent a message."""
+        """Another scheduler sent a datagram."""
--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -1,10 +1,11 @@
-"""The decisions of one gateway.  Its whole interface stands in ``interface.py``; read that first.
-
-Jobs go to the available worker with the lowest gap ``n_i - alpha_i * n``.  In reading order:
-tunables, the worker list, fairness, looking and picking, attempts, health, outcomes and timers.  Its
-state stands in modules of its own: ``profiles`` (response times and shares), ``workers`` (what is
-known of each), ``attempts`` (a request and its attempts), ``cold_start`` (allowances at workers in
-slow start), ``quota`` (of tenants), ``zone_reach`` (zones that are cut off).
+"""The decisions of one scheduler.  Its whole interface is defined in ``interface.py``; read that first.
+
+Jobs go to the available worker with the lowest gap ``n_i - alpha_i * n``: its jobs in flight less its
+share of all jobs in flight.  In reading order: constants, the worker list, admission, probing before
+sending, picking a worker, attempts, health, outcomes and timers.  The state is kept in modules of its own:
+``profiles`` (response times and shares), ``workers`` (what is known of each worker), ``attempts`` (a request
+and its attempts), ``cold_start`` (allowances at workers in slow start), ``quota`` (of tenants),
+``zone_reach`` (unreachable zones).
 """
 
 from __future__ import annotations
@@ -30,488 +31,517 @@
 )
 from .occupancy.choice import exchange_for
 from .occupancy.exchange import NoExchange, Outgoing
-from .profiles import MEAN_STEP, JobType, KeyType
+from .profiles import MIN_MEAN_STEP, JobType, KeyType
 from .quota import TenantQuotas
 from .workers import Fleet, Reports, Worker
 from .zone_reach import ZoneReach
 
-# --- tunables ---------------------------------------------------------------------------------
-
-SAMPLE_BASE = 3  # workers; the fewest ranked, so that a pick is never blind
-SAMPLE_PER_JOB = 2  # workers ranked for each job in flight: counts tell more workers apart
-DRAWS = 4  # draws for each worker to rank: bounds the work where few can be used
-REPORT_TTL_MS = 2_500.0  # ms; an older report describes another moment and counts as none
-FULL_STEP = 0.03  # share; how fast the view of how often 'full' comes moves with each attempt
-FULL_BAR_MS = 150.0  # ms; the first bar after 'full', about one short job; doubles up to 4 times
-STRIKE_MS = 1_000.0  # ms; the first bar of a worker that failed to connect or fell silent; doubles
-UNHEARD = frozenset((Status.TIMEOUT, Status.RESET, Status.CANCELLED))  # what the worker may go on with
-REST_LEAST = 0.3  # of a usual response time; how long such an attempt is still counted at the least
-AGAIN_TIMES = 6.0  # usual response times without any sign: a repeatable job is called off and sent again
-OVERTAKEN_MS = 200.0  # ms; sent so much before one that has started, an attempt waits in no queue
-ERROR_STEP = 0.3  # share; how fast the view of a worker's errors moves with each of its answers
-ERRORS_SOME = 0.25  # share of errors from which it gets only jobs that may be repeated
-ERRORS_ILL = 0.5  # share of errors, two in a row, that is a failure: who fails at once looks free
-ERRORS_MS = 8_000.0  # ms; an error so long ago says nothing
-ERRORS_BAR = 2  # times; the longest bar for errors: a trial with a repeatable job costs little
-RESETS = 2  # resets in a row that count as a failure: one alone is a connection's, not its worker's
-STRIKE_MAX = 16  # times; the longest bar, so that a recovered worker is tried again within seconds
-QUIET_NOTES = 2.5  # progress gaps without a note from running work: standing still
-QUIET_TIMES = 4.0  # typical response times without any sign: silent, where no notes are promised
-QUIET_MIN_MS = 1_500.0  # ms; below this silence means nothing
-START_SLACK = 1.6  # times; a start this much later than usual means that the job waits
-START_MS = 25.0  # ms; the start delay assumed before any was seen (a handshake and a tick or two)
-COPY_FULL = 0.04  # share of attempts turned away as full at which no job may wait in two places
-COPY_SLACK = 0.1  # share of a job's slack that passes before each further place in a queue
-LOOKS = 2  # workers probed before a send, where only probes report and a probe is cheap; more stray
-LOOK_ROUNDS = 2  # rounds of looks before a job goes to a worker that is not free
-LOOK_PRICE = 0.02  # points of the goal that the looks of a request may cost
-LOOK_MS = 12.0  # ms; what has not answered a look by then is left out: a job is held no longer
-LOOK_TTL_MS = 40.0  # ms; a look is of this moment; soon other gateways have sent there
-BUSY_MS = 400.0  # ms; how long a worker that let a job wait counts as busy
-WAITING_COPIES = 3  # copies that may wait at once: each takes a place in somebody's queue
-WAIT_OK = 0.5  # share of the fixed part of the aim; a reported wait up to this is short
-RATE_MS = 8_000.0  # ms; over which this gateway measures what it gets served
-LOCAL_STEP = 0.08  # share; how fast the view of how busy the own zone is moves
-LOCAL_BUSY = 0.85  # share of own-zone jobs that had to wait, above which all zones are looked at first
-AIM_SLIP = 0.1  # share of the aim; hints are not exact, so hope ends this much later
-RUN_STEP = 0.05  # share; how fast the view of a kind's running times moves with each served job
-RUN_SURE = 0.85  # share of the usual running time that a job is sure to take: less hope than that is none
-DEAD_TIMES = 3.0  # typical run times; a retry older than the aim of such a job is past use
-STRAIN_REPORT = 0.03  # share; how fast the view of the fleet's strain moves with each report
-STRAIN_START = 0.12  # share; and with each own job's start, of which there are fewer
-STRAIN_LATE = 0.5  # share of the fixed part of an aim; a start later than this is a sign of strain
-SHED_FROM = 0.2  # strain at which worthless work would be shed
-SHED_VALUE = 0.6  # more strain for the most valuable work, by the root of the value of its class's time
-SHED_WAIT = 0.5  # of the most pressing aim that may have to wait behind: a longer wait is shed
-SHED_WAIT_VALUE = 1.0  # more of it for the most valuable work
-RETURN_MS = 300.0  # ms; when a refused client is told to return: soon enough to be in time yet
-SHED_WIDTH = 0.3  # strain from the first shed request of a value to all of them
-KEYS_MAX = 1_024  # keys that are types of their own at once; the longest unused is forgotten
-WATCH_SPREAD = 0.6  # share of the ask interval over which gateways spread their first call
-RETRY_LIST_MS = 700.0  # ms; the first wait after a failed call for the list; doubles, jittered
-LOG_LINES = 12  # lines in all; an instance tells of rare changes only
-
-_ALARM_CHECK, _ALARM_END, _ALARM_LIST, _ALARM_LOOK, _ALARM_START, _ALARM_EXCHANGE = range(6)
+# --- constants --------------------------------------------------------------------------------
+# A constant called "step" is the weight of a new sample in an exponentially weighted mean.
+
+MIN_CANDIDATES = 3  # workers ranked at the least, so that a pick never depends on a single draw
+CANDIDATES_PER_JOB = 2  # workers ranked for each job in flight: higher counts tell more workers apart
+DRAWS_PER_CANDIDATE = 4  # bounds the work of a pick where few workers are usable
+REPORT_TTL_MS = 2_500.0  # an older report describes another moment and counts as none
+FULL_SHARE_STEP = 0.03  # for the share of attempts answered with 'full'
+FULL_BACKOFF_MS = 150.0  # first back-off after 'full', about one short job; doubles, up to 4 times as long
+EJECTION_MS = 1_000.0  # first ejection of a worker that failed to connect or fell silent; doubles
+POSSIBLY_RUNNING = frozenset((Status.TIMEOUT, Status.RESET, Status.CANCELLED))  # the worker may work on
+MIN_REST_SHARE = 0.3  # of an expected response time: how long the slots of such an attempt stay counted
+RESEND_AFTER = 6.0  # expected response times without any sign: a repeatable job is cancelled and sent again
+OVERTAKEN_MS = 200.0  # an attempt sent this much before one that has started is in no queue
+ERROR_RATE_STEP = 0.3  # for the error rate of a worker, with each of its answers
+ERROR_RATE_RISKY = 0.25  # error rate from which a worker gets only jobs that may be repeated
+ERROR_RATE_EJECT = 0.5  # two errors in a row: ejected, as a worker that fails at once looks free
+ERROR_MEMORY_MS = 8_000.0  # an older error says nothing
+ERROR_EJECTION_MAX = 2  # times EJECTION_MS, for errors: a trial with a repeatable job costs little
+RESETS_TO_EJECT = 2  # in a row: a single reset is a fault of the connection, not of its worker
+EJECTION_MAX = 16  # times EJECTION_MS, so that a recovered worker is tried again within seconds
+SILENT_PROGRESS_INTERVALS = 2.5  # without a progress update from running work: it is stalled
+SILENT_RESPONSE_TIMES = 4.0  # typical response times without any sign, where no progress is announced
+MIN_SILENCE_MS = 1_500.0  # a shorter silence means nothing
+START_SLACK = 1.6  # times the usual start delay: a job that starts later is waiting in a queue
+FIRST_START_DELAY_MS = 25.0  # start delay assumed before any was measured (a handshake and a tick or two)
+HEDGE_MAX_FULL_SHARE = 0.04  # share of attempts answered 'full' from which no job may wait in two queues
+HEDGE_SLACK_SHARE = 0.1  # of a job's slack, which passes before each further place in a queue
+PROBES_PER_ROUND = 2  # where only probes report and a probe is cheap; with more, picks stray from the shares
+PROBE_ROUNDS = 2  # before a job goes to a worker that is not free
+MAX_PROBE_PRICE = 0.02  # points of the objective that the probes of a request may cost
+PROBE_WAIT_MS = 12.0  # a worker that has not answered by then is left out: a job is held no longer
+PROBE_TTL_MS = 40.0  # an answer describes its moment; soon other schedulers have sent jobs there
+BUSY_MS = 400.0  # how long a worker that let a job wait counts as busy
+MAX_WAITING_HEDGES = 3  # attempts that may wait at once: each takes a place in a queue
+SHORT_WAIT = 0.5  # of the fixed part of the aim: an expected wait up to this is short
+SERVED_RATE_MS = 8_000.0  # time constant of the rate at which this scheduler's jobs are served
+LOCAL_BUSY_STEP = 0.08  # for the share of jobs in the own zone that had to wait
+LOCAL_BUSY_LIMIT = 0.85  # the same share, above which all zones are considered at once
+AIM_TOLERANCE = 0.1  # of the aim: hints are not exact, so a job is given up this much later
+RUN_TIME_STEP = 0.05  # for the running times of a kind of worker, with each served job
+MIN_RUN_SHARE = 0.85  # of the usual running time, which a job takes at the least
+STALE_RUN_TIMES = 3.0  # typical running times: a retry older than the aim of so long a job is useless
+SATURATION_REPORT_STEP = 0.03  # with each report
+SATURATION_START_STEP = 0.12  # with each start of an own job, of which there are fewer
+LATE_START_SHARE = 0.5  # of the fixed part of an aim: a later start is a sign of saturation
+SHED_FROM = 0.2  # saturation at which worthless work would be shed
+SHED_VALUE_RANGE = 0.6  # on top for the most valuable work; grows with the root of the value of its time
+SHED_WAIT = 0.5  # of the tightest aim that may have to wait behind a job: a longer wait is shed
+SHED_WAIT_VALUE_RANGE = 1.0  # on top for the most valuable work
+RETRY_AFTER_MS = 300.0  # told to a refused client: soon enough for a retry to be in time
+SHED_WIDTH = 0.3  # saturation from the first shed request of a value to all of them
+MAX_KEYS = 1_024  # keys with a type of their own; the least recently used one is evicted
+FIRST_WATCH_SPREAD = 0.6  # of the ask interval, over which schedulers spread their first call
+LIST_RETRY_MS = 700.0  # first wait after a failed call for the list; doubles, jittered
+MAX_LOG_LINES = 12  # in all: an instance reports rare changes only
+
+(_TIMER_CHECK, _TIMER_DEADLINE, _TIMER_LIST, _TIMER_PROBES, _TIMER_START,
+ _TIMER_EXCHANGE) = range(6)
 
 
 class Balancer:
-    """The decisions of one gateway; see ``interface.Events`` for what each event means."""
+    """The decisions of one scheduler; see ``interface.Events`` for what each event means."""
 
     def __init__(self, now: float, settings: Settings, seed: int, actions: Actions) -> None:
         self.settings = settings
         self.actions = actions
         self.rng = random.Random(seed)
         self.fleet = Fleet(settings.kinds)
-        self.looks = (settings.may_probe and settings.reports_in_probes
-                      and LOOKS * LOOK_ROUNDS * settings.prices.get("probe", 0.0) <= LOOK_PRICE)
-        self.reports = Reports(settings.report_fields, LOOK_TTL_MS if self.looks else REPORT_TTL_MS,
+        self.probes_first = (
+            settings.may_probe and settings.reports_in_probes
+            and PROBES_PER_ROUND * PROBE_ROUNDS * settings.prices.get("probe", 0.0) <= MAX_PROBE_PRICE)
+        self.reports = Reports(settings.report_fields, PROBE_TTL_MS if self.probes_first else REPORT_TTL_MS,
                                settings.queue_order != "backfill")
-        self.looking: dict[int, list[Job]] = {}  # by worker: the jobs that wait for a look at it
+        self.awaiting_probe: dict[int, list[Job]] = {}  # by worker: the jobs that wait for its probe
         self.jobs: dict[int, Job] = {}
         self.class_types = [JobType(settings.kinds, log(c.aim_ms)) for c in settings.classes]
         self.hint_types = [JobType(settings.kinds, 0.0) for _ in settings.classes]
-        self.key_types: dict[tuple[int, int], KeyType] = {}
-        self.heap: list[tuple[float, int, int, Attempt | Job | None]] = []
-        self.serial = 0
-        self.armed_at = 0.0  # when the pending alarm comes due; 0: none
-        self.mean_response_ms = min(c.aim_ms for c in settings.classes)  # ms; the usual time of any job
-        self.mean_run_ms = self.mean_response_ms  # ms; the usual time of any job from its start
+        self.key_types: dict[tuple[int, int], KeyType] = {}  # least recently used first
+        self.timers: list[tuple[float, int, int, Attempt | Job | None]] = []
+        self.timer_serial = 0
+        self.timer_due_at = 0.0  # when the pending timer of the host comes due; 0: none
+        self.mean_response_ms = min(c.aim_ms for c in settings.classes)  # of all jobs
+        self.mean_run_ms = self.mean_response_ms  # of all jobs, from their start
         self.started_at = now
-        self.warm = 0
-        self.served_cost = 0.0
+        self.warm_workers = 0
+        self.served_cost = 0.0  # mean jobs served per warm worker, decaying over SERVED_RATE_MS
         self.served_at = now
         self.mean_cost = 1.0
-        self.run = [1.0] * settings.kinds  # running time per hinted ms, by kind of worker
-        self.start_ms = [START_MS, START_MS + 2 * settings.connect_timeout_ms / 5]  # own zone, others
-        self.local_busy = 0.0
-        self.reach = ZoneReach(settings.zones)
-        self.full = 0.0  # the share of attempts that are turned away as full
-        self.saturation = 0.0  # the share of own jobs that start late, else of reports without a free slot
-        self.longest_left_ms = [0.0] * len(settings.classes)  # the longest wait that a client has had left
+        self.run_ms_per_hint = [1.0] * settings.kinds  # running time per hinted ms, by kind of worker
+        self.start_delay_ms = [  # in the own zone, in others
+            FIRST_START_DELAY_MS, FIRST_START_DELAY_MS + 2 * settings.connect_timeout_ms / 5]
+        self.local_busy = 0.0  # share of jobs in the own zone that had to wait
+        self.zone_reach = ZoneReach(settings.zones)
+        self.full_share = 0.0  # share of attempts answered with 'full'
+        self.saturation = 0.0  # share of own jobs that start late, else of reports without a free slot
+        self.longest_left_ms = [0.0] * len(settings.classes)  # most time that a request came in with
         self.quotas = TenantQuotas(now, len(settings.tenants))
         self.watching = False
-        self.list_wait = RETRY_LIST_MS
-        self.lines = LOG_LINES
-        self.give_up_reason = ""  # why the request last given up was
+        self.list_retry_ms = LIST_RETRY_MS
+        self.log_lines_left = MAX_LOG_LINES
+        self.give_up_reason = ""  # of the request that was given up last
         self.occupancy = exchange_for(now, settings.me, settings.balancers - 1, settings.may_tell_peers,
                                       settings.prices.get("peer", 0.0))
-        self.tells = not isinstance(self.occupancy, NoExchange)
-        self._tell(())  # nothing yet, but it may want to be woken
+        self.shares_counts = not isinstance(self.occupancy, NoExchange)
+        self._send_messages(())  # there is no message yet, but the exchange may want a wakeup
         if settings.must_ask:
-            # Gateways that start together must not ask together: the list has a fixed capacity.
-            self._at(now + settings.ask_within_ms * WATCH_SPREAD * self.rng.random(), _ALARM_LIST, None)
-        self._arm(now)
+            # Schedulers that start together must not ask together: the list has a fixed capacity.
+            self._schedule(
+                now + settings.ask_within_ms * FIRST_WATCH_SPREAD * self.rng.random(), _TIMER_LIST, None)
+        self._arm_timer(now)
 
     # -- the worker list --
 
     def on_workers(self, now: float, kind: int, entries: Sequence[ListedWorker]) -> None:
-        """Follow the list; after a failed call keep the old one and ask again, later each time."""
+        """Follow the list; after a failed call keep the known one and ask again with a growing delay."""
         if kind == ListKind.FAILED:
             if self.watching:
-                self._log("worker list out of reach")
+                self._log("worker list unavailable; keeping the last one")
             self.watching = False
-            wait = min(self.list_wait, self.settings.ask_within_ms * 0.8) * (0.5 + self.rng.random())
-            self.list_wait *= 2.0
-            self._at(now + wait, _ALARM_LIST, None)
+            wait = min(self.list_retry_ms, self.settings.ask_within_ms * 0.8) * (0.5 + self.rng.random())
+            self.list_retry_ms *= 2.0
+            self._schedule(now + wait, _TIMER_LIST, None)
         else:
             if kind != ListKind.CACHED and self.settings.must_ask:
                 self.watching = True
-                self.list_wait = RETRY_LIST_MS
-            for wid in self.fleet.apply(kind, entries, self._cold_phase):
-                self._forget(wid)
-            workers, change = self.fleet.workers, kind == ListKind.CHANGES
-            ids = [e.worker for e in entries if e.worker in workers] if change else list(workers)
+                self.list_retry_ms = LIST_RETRY_MS
+            for worker_id in self.fleet.apply(kind, entries, self._cold_phase):
+                self._forget_worker(worker_id)
+            workers, partial = self.fleet.workers, kind == ListKind.CHANGES
+            ids = [entry.worker for entry in entries if entry.worker in workers] if partial else list(workers)
             slots_out, identities = ({i: workers[i].slots_out for i in ids},
                                      {i: workers[i].identity for i in ids})
-            if change:  # of a long list only what has changed
-                gone = [e.worker for e in entries if e.worker not in workers]
+            if partial:  # of a long list only the changes are passed on
+                gone = [entry.worker for entry in entries if entry.worker not in workers]
                 self.occupancy.update_workers(now, slots_out, identities, gone)
             else:
                 self.occupancy.set_workers(now, slots_out, identities)
-            self._tell(())
-            for e in entries:
-                if e.state == WorkerState.READY and now - e.ready_at_ms < self.settings.cold_ms:
-                    self.reach.comes_back(e.zone)
-            self.warm = sum(w.ready_at <= 0.0 for w in self.fleet.ready.values())
-            for t in self._types():
-                t.stale = True
-        self._arm(now)
+            self._send_messages(())
+            for entry in entries:
+                if entry.state == WorkerState.READY and now - entry.ready_at_ms < self.settings.cold_ms:
+                    self.zone_reach.worker_started(entry.zone)
+            self.warm_workers = sum(worker.ready_at <= 0.0 for worker in self.fleet.ready.values())
+            for profile in self._class_profiles():
+                profile.stale = True
+        self._arm_timer(now)
 
     def _cold_phase(self, identity: int) -> float:
         return cold_start.phase_of(self.settings.me, self.settings.balancers, identity, self.rng.random())
 
-    def on_settings(self, settings: Settings, fresh: Sequence[int]) -> None:
-        """Other settings; the classes of some rows, known or one past them, are others from now on."""
+    def on_settings(self, settings: Settings, changed: Sequence[int]) -> None:
+        """Take new settings; ``changed``: indices of replaced classes, or one past the last for a new one."""
         self.settings = settings
-        for c in fresh:
-            self.class_types[c:c + 1] = [JobType(settings.kinds, log(settings.classes[c].aim_ms))]
-            self.hint_types[c:c + 1] = [JobType(settings.kinds, 0.0)]
-            self.longest_left_ms[c:c + 1] = [0.0]
-        self.key_types = {k: t for k, t in self.key_types.items() if k[0] not in fresh}
+        for row in changed:
+            self.class_types[row:row + 1] = [JobType(settings.kinds, log(settings.classes[row].aim_ms))]
+            self.hint_types[row:row + 1] = [JobType(settings.kinds, 0.0)]
+            self.longest_left_ms[row:row + 1] = [0.0]
+        self.key_types = {k: t for k, t in self.key_types.items() if k[0] not in changed}
 
-    def _types(self) -> list[JobType]:
+    def _class_profiles(self) -> list[JobType]:
         return [*self.class_types, *self.hint_types]
 
-    def _forget(self, worker: int) -> None:
-        for t in self._types():
-            t.forget(worker)
-        for k in self.key_types.values():
-            k.met.pop(worker, None)
+    def _forget_worker(self, worker_id: int) -> None:
+        for profile in self._class_profiles():
+            profile.forget(worker_id)
+        for key_type in self.key_types.values():
+            key_type.last_sent_at.pop(worker_id, None)
 
-    # -- types, admission, fairness --
+    # -- job types, admission --
 
-    def _type_of(self, request: Request) -> tuple[JobType, KeyType | None]:
-        """The profiles of the class, and the key as a type of its own where there is one."""
-        base = (self.hint_types if request.hint_ms > 0 else self.class_types)[request.class_index]
+    def _types_of(self, request: Request) -> tuple[JobType, KeyType | None]:
+        """The profiles of the request's class and, where it has a key, the type of that key."""
+        class_type = (self.hint_types if request.hint_ms > 0 else self.class_types)[request.class_index]
         if not request.key:
-            return base, None
+            return class_type, None
         key = (request.class_index, request.key)
-        found = self.key_types.pop(key, None)
-        if found is None:
-            found = KeyType(request.key, base)
-            if len(self.key_types) >= KEYS_MAX:
+        key_type = self.key_types.pop(key, None)
+        if key_type is None:
+            key_type = KeyType(request.key, class_type)
+            if len(self.key_types) >= MAX_KEYS:
                 del self.key_types[next(iter(self.key_types))]
-        self.key_types[key] = found  # the longest unused comes first
-        return base, found
+        self.key_types[key] = key_type  # moved to the end, as the most recently used one
+        return class_type, key_type
 
     def on_request(self, now: float, request: Request) -> None:
-        """Take a request: send it, or turn it away where that is worth more."""
+        """Take a request: send it, or refuse it where that is worth more."""
         if request.id in self.jobs:
             return
-        c = request.class_index
-        cls = self.settings.classes[c]
-        job = Job(request, cls, *self._type_of(request), now)
+        class_index = request.class_index
+        cls = self.settings.classes[class_index]
+        job = Job(request, cls, *self._types_of(request), now)
         self.jobs[job.id] = job
-        first = self.longest_left_ms[c] = max(self.longest_left_ms[c], request.left_ms)
-        begun = now - (first - request.left_ms)  # a later try has less time left than a first one
+        longest = self.longest_left_ms[class_index] = max(
+            self.longest_left_ms[class_index], request.left_ms)
+        first_try_at = now - (longest - request.left_ms)  # a retry has less time left than a first try
         job.over_share = not self.quotas.admits(
             now, request.tenant, self.settings.tenants, self.settings.balancers)
-        typical = exp(job.type.mean_log)
-        if job.hint > 0:
-            work = job.hint * typical
-            job.aim_at = begun + cls.aim_ms + cls.aim_stretch * job.hint
-            job.cost = job.slots * job.hint
+        typical_ms = exp(job.job_type.mean_log)
+        if job.hint_ms > 0:
+            work = job.hint_ms * typical_ms
+            job.aim_at = first_try_at + cls.aim_ms + cls.aim_stretch * job.hint_ms
+            job.cost = job.slots * job.hint_ms
         else:
-            work = typical
-            job.aim_at = begun + cls.aim_ms + cls.aim_stretch * typical * DEAD_TIMES
+            work = typical_ms
+            job.aim_at = first_try_at + cls.aim_ms + cls.aim_stretch * typical_ms * STALE_RUN_TIMES
         self.mean_cost += (job.cost - self.mean_cost) * 0.02
-        end = job.ends - 2 * self.settings.tick_ms
+        give_up_at = job.deadline_at - 2 * self.settings.tick_ms
         if cls.late_worth <= 0:
-            if now + (0.8 * work if job.hint > 0 else 0.0) > job.aim_at:
-                self._give_up(job, now, "hopeless")  # a retry that cannot be in time any more
-                self._arm(now)
+            if now + (0.8 * work if job.hint_ms > 0 else 0.0) > job.aim_at:
+                self._give_up(job, now, "hopeless")  # a retry that can no longer be in time
+                self._arm_timer(now)
                 return
-            if job.hint > 0:
-                end = min(end, job.aim_at + AIM_SLIP * (job.aim_at - begun))
+            if job.hint_ms > 0:
+                give_up_at = min(give_up_at, job.aim_at + AIM_TOLERANCE * (job.aim_at - first_try_at))
                 if self.settings.tells_start:
-                    self._at(job.aim_at - self._sure_ms(job, min(self.run)), _ALARM_START, job)
-        self._at(end, _ALARM_END, job)
-        if not (self.looks and self._look(job, now)):
-            self._send(job, now)
-        self._arm(now)
-
-    # -- looking before sending --
-
-    def _look(self, job: Job, now: float) -> bool:
-        """Draw a few workers in proportion to their shares; where counts do not tell, probe them first."""
-        near = self._own_zone_reached and self.local_busy < LOCAL_BUSY
+                    self._schedule(
+                        job.aim_at - self._min_run_ms(job, min(self.run_ms_per_hint)), _TIMER_START, job)
+        self._schedule(give_up_at, _TIMER_DEADLINE, job)
+        if not (self.probes_first and self._probe_candidates(job, now)):
+            self._try_send(job, now)
+        self._arm_timer(now)
+
+    # -- probing before sending --
+
+    def _probe_candidates(self, job: Job, now: float) -> bool:
+        """Draw a few workers in proportion to their shares and probe them, unless counts tell who is free."""
+        own_zone_only = self._prefers_own_zone and self.local_busy < LOCAL_BUSY_LIMIT
         pool = self.fleet.pool(
-            (self.settings.zone,) if near and not job.rounds else (), job.cls.kind, job.index)
-        usable = [w for w in pool if w not in job.looked and self._usable(w, job, now) == 2]
-        fresh = self._draw(job, usable, LOOKS, now)
-        job.rounds += 1
-        if self._knows(now):  # the gateways' counts tell who is free, and of this moment
-            job.looked += fresh
-            if job.rounds < LOOK_ROUNDS and not any(self._available(w, job, now) for w in job.looked):
-                self._look(job, now)
+            (self.settings.zone,) if own_zone_only and not job.probe_rounds else (), job.cls.kind,
+            job.class_index)
+        usable = [worker for worker in pool
+                  if worker not in job.probed and self._usable(worker, job, now) == 2]
+        drawn = self._sample_by_share(job, usable, PROBES_PER_ROUND, now)
+        job.probe_rounds += 1
+        if self._occupancy_known(now):  # the counts of all schedulers tell who is free at this moment
+            job.probed += drawn
+            if job.probe_rounds < PROBE_ROUNDS and not any(
+                    self._available(worker, job, now) for worker in job.probed):
+                self._probe_candidates(job, now)
             return False
-        for w in fresh:
-            job.looked.append(w)
-            waiting = self.looking.get(w.id)
+        for worker in drawn:
+            job.probed.append(worker)
+            waiting = self.awaiting_probe.get(worker.id)
             if waiting is None:
-                self.looking[w.id] = [job]
-                self.actions.probe(w.id)
+                self.awaiting_probe[worker.id] = [job]
+                self.actions.probe(worker.id)
             else:
                 waiting.append(job)
-            job.looks_out += 1
-        if fresh:
-            self._at(now + LOOK_MS, _ALARM_LOOK, job)
-        return bool(fresh)
+            job.probes_pending += 1
+        if drawn:
+            self._schedule(now + PROBE_WAIT_MS, _TIMER_PROBES, job)
+        return bool(drawn)
 
-    def _draw(self, job: Job, pool: list[Worker], want: int, now: float) -> list[Worker]:
+    def _sample_by_share(self, job: Job, pool: list[Worker], count: int, now: float) -> list[Worker]:
         """Distinct workers drawn in proportion to their shares."""
-        t, rnd = job.type, self.rng.random
-        found: list[Worker] = []
+        job_type, draw = job.job_type, self.rng.random
+        drawn: list[Worker] = []
         if job.key_type is not None:
-            return self._drawn(job, pool, now)[:want]
-        for _ in range(want * DRAWS if pool else 0):
-            w = pool[int(rnd() * len(pool))]
-            if rnd() * t.top <= (t.rates.get(w.id) or t.kind_rates[w.kind]) and w not in found:
-                found.append(w)
-                if len(found) == want:
+            return self._hash_order(job, pool, now)[:count]
+        for _ in range(count * DRAWS_PER_CANDIDATE if pool else 0):
+            worker = pool[int(draw() * len(pool))]
+            if draw() * job_type.max_rate <= (
+                    job_type.rates.get(worker.id) or job_type.kind_rates[worker.kind]
+            ) and worker not in drawn:
+                drawn.append(worker)
+                if len(drawn) == count:
                     break
-        return found
+        return drawn
 
     @staticmethod
-    def _rate(job: Job, w: Worker, now: float) -> float:
-        """The inverse of the response time to expect; with a fetch where the worker has not met the key."""
-        t, k = job.type, job.key_type
-        rate = t.rates.get(w.id) or t.kind_rates[w.kind]
-        if k is None or k.has_met(w.id, now):
+    def _rate(job: Job, worker: Worker, now: float) -> float:
+        """The inverse of the expected response time, with a fetch where the worker does not hold the key."""
+        job_type, key_type = job.job_type, job.key_type
+        rate = job_type.rates.get(worker.id) or job_type.kind_rates[worker.kind]
+        if key_type is None or key_type.holds_key(worker.id, now):
             return rate
-        return rate * exp(-t.fetch)
+        return rate * exp(-job_type.fetch_log)
 
-    def _drawn(self, job: Job, pool: list[Worker], now: float) -> list[Worker]:
-        """Workers in the order of the key's draw."""
-        k = job.key_type
-        assert k is not None
-        return sorted(pool, key=lambda w: k.order(w, self._rate(job, w, now)))
+    def _hash_order(self, job: Job, pool: list[Worker], now: float) -> list[Worker]:
+        """Workers in the order of the key's weighted rendezvous hash."""
+        key_type = job.key_type
+        assert key_type is not None
+        return sorted(pool, key=lambda worker: key_type.hash_order(worker, self._rate(job, worker, now)))
 
-    def _looked(self, job: Job, now: float) -> None:
-        """The looks are in, or late: send, or look once more if nobody was free."""
-        if job.over or job.attempts or job.looks_out < 0:
+    def _on_probes_done(self, job: Job, now: float) -> None:
+        """All probes were answered or timed out: send, or probe once more if no worker was free."""
+        if job.closed or job.attempts or job.probes_pending < 0:
             return
-        free = any(self.reports.free(now, w, job.slots, job.memory) for w in job.looked)
-        self.saturation += ((not free) - self.saturation) * STRAIN_START
-        if not free and job.rounds < LOOK_ROUNDS and self._look(job, now):
+        free = any(self.reports.has_room(now, worker, job.slots, job.memory) for worker in job.probed)
+        self.saturation += ((not free) - self.saturation) * SATURATION_START_STEP
+        if not free and job.probe_rounds < PROBE_ROUNDS and self._probe_candidates(job, now):
             return
-        job.looks_out = -1
-        self._send(job, now)
+        job.probes_pending = -1
+        self._try_send(job, now)
 
-    # -- picking --
+    # -- picking a worker --
 
     @property
-    def _own_zone_reached(self) -> bool:
-        return self.settings.zones > 1 and not self.reach.is_cut_off(self.settings.zone)
+    def _prefers_own_zone(self) -> bool:
+        return self.settings.zones > 1 and not self.zone_reach.is_cut_off(self.settings.zone)
 
-    def _usable(self, w: Worker, job: Job, now: float) -> int:
-        """0: must not be used; 1: health speaks against it; 2: may be used."""
-        if w.ready_at > 0.0 and not self._cold_allows(w, job, now):
+    def _usable(self, worker: Worker, job: Job, now: float) -> int:
+        """0: must not be used; 1: only if no healthy worker is left; 2: may be used."""
+        if worker.ready_at > 0.0 and not self._cold_allows(worker, job, now):
             return 0
-        ill = w.ejected_until > now or (w.trial and w.slots_out > 0) or (
-            w.errors >= ERRORS_SOME and self._fails(w, job, -1, now))
-        # It said 'full' where counts say free: it drains, and the list is late.
-        full = w.full_until > now and job.slots >= w.full_slots and self._slots(w, now) > 0.0
-        return 1 if ill or full else 2
-
-    def _cold_allows(self, w: Worker, job: Job, now: float) -> bool:
-        """Whether a cold worker may be sent a job, by what it bears from all gateways together."""
-        if now - w.ready_at >= self.settings.cold_ms:
-            w.ready_at = -w.ready_at  # warm; the list names its start again, so it is kept
-            self.warm += 1
+        unhealthy = worker.ejected_until > now or (worker.half_open and worker.slots_out > 0) or (
+            worker.error_rate >= ERROR_RATE_RISKY and self._failed_recently(worker, job, -1, now))
+        # It answered 'full' though the counts say free: it drains, and the list is late.
+        refused = (worker.full_until > now and job.slots >= worker.full_size
+                   and self._known_slots(worker, now) > 0.0)
+        return 1 if unhealthy or refused else 2
+
+    def _cold_allows(self, worker: Worker, job: Job, now: float) -> bool:
+        """Whether a cold worker may be sent a job, by the load limit for all schedulers together."""
+        if now - worker.ready_at >= self.settings.cold_ms:
+            # Warm.  The start time is kept, negated, as the list names the same start again.
+            worker.ready_at = -worker.ready_at
+            self.warm_workers += 1
             return True
-        cost, bears = job.cost / self.mean_cost, cold_start.bears(self._cold_budget(w, job, now))
-        per_window = cold_start.PART * bears / self.settings.balancers
-        w.cold_allowance.earn(now, per_window / self.settings.fall_ms)
-        if cost > cold_start.ONE_REQUEST * bears:
+        cost, load_limit = (job.cost / self.mean_cost,
+                            cold_start.load_limit(self._cold_budget(worker, job, now)))
+        per_window = cold_start.ALLOWED_SHARE * load_limit / self.settings.balancers
+        worker.cold_allowance.earn(now, per_window / self.settings.fall_ms)
+        if cost > cold_start.MAX_REQUEST_SHARE * load_limit:
             return False
-        if (slots := self._slots(w, now)) > 0.0 and (part := self.occupancy.heard_part) > 0.0:
-            # The sum over the gateways that are heard is known: it holds for them together, and they have
-            # their part of what the rule lets all of them send.  Others may be cut off, and send as well.
-            return (out := self._out(w)) <= 0.0 or out + job.slots <= slots * part
-        return w.cold_allowance.admits(cost)
+        if (slots := self._known_slots(worker, now)) > 0.0 and (part := self.occupancy.heard_part) > 0.0:
+            # The slots that the heard schedulers use are known.  Together these may use their part of what
+            # the rule allows all schedulers, as the others may be cut off and send as well.
+            return (slots_out := self._total_slots_out(worker)) <= 0.0 or (
+                slots_out + job.slots <= slots * part)
+        return worker.cold_allowance.admits(cost)
 
-    def _cold_budget(self, w: Worker, job: Job, now: float) -> float:
-        """Mean jobs that the rule allows a cold worker now in ``fall_ms``, guessed by what warm ones bear.
+    def _cold_budget(self, worker: Worker, job: Job, now: float) -> float:
+        """Mean jobs that the rule allows a cold worker within ``fall_ms``.
 
-        A kind that is slower than the mean of all workers bears less.
+        Estimated from what warm workers serve; a worker whose kind is slower than the mean is allowed less.
         """
-        t = job.type
-        slow = min(1.0, t.kind_rates[w.kind] * len(self.fleet.ready) / t.total)
+        job_type = job.job_type
+        relative_speed = min(
+            1.0, job_type.kind_rates[worker.kind] * len(self.fleet.ready) / job_type.total_rate)
         window = self.settings.fall_multiple * self.settings.balancers * self.settings.fall_ms
-        return window * self._served_rate(now) * self._warmth(w, now) * slow
+        return window * self._served_per_ms(now) * self._warm_fraction(worker, now) * relative_speed
 
-    def _warmth(self, w: Worker, now: float) -> float:
-        """The present part of a cold worker's capacity, at the least."""
-        share = min(1.0, max(0.0, now - w.ready_at) / self.settings.cold_ms)
-        return self.settings.cold_from + (1.0 - self.settings.cold_from) * share
+    def _warm_fraction(self, worker: Worker, now: float) -> float:
+        """The share of its full capacity that a cold worker has now, at the least."""
+        elapsed = min(1.0, max(0.0, now - worker.ready_at) / self.settings.cold_ms)
+        return self.settings.cold_from + (1.0 - self.settings.cold_from) * elapsed
 
-    def _served_rate(self, now: float) -> float:
-        """Mean jobs a ms that it gets served by a warm worker; it may send many times that."""
-        now = now if self.warm else max(self.started_at, self.served_at)  # where none is left, as it was
-        known = 1.0 - exp((self.started_at - now - 1.0) / RATE_MS)  # of the time over which it is measured
-        return self.served_cost * exp((self.served_at - now) / RATE_MS) / (RATE_MS * known)
+    def _served_per_ms(self, now: float) -> float:
+        """Mean jobs of this scheduler that a warm worker serves per ms; jobs sent may be many times that."""
+        # Without a warm worker, the rate stays as it was when the last job was served.
+        now = now if self.warm_workers else max(self.started_at, self.served_at)
+        known = 1.0 - exp((self.started_at - now - 1.0) / SERVED_RATE_MS)  # share of the averaging time
+        return self.served_cost * exp((self.served_at - now) / SERVED_RATE_MS) / (SERVED_RATE_MS * known)
 
     @staticmethod
-    def _fails(w: Worker, job: Job, index: int, now: float) -> bool:
-        """Whether a class, or any (-1), failed there so lately that it is no place for a never-twice job."""
-        return job.cls.effect != Effect.SAFE and now - w.erred.get(index, -1e18) < ERRORS_MS
-
-    def _available(self, w: Worker, job: Job, now: float) -> bool:
-        """Reports tell, else the last 'full' for this size, else a job that had to wait there."""
-        if self._fails(w, job, job.index, now):
+    def _failed_recently(worker: Worker, job: Job, class_index: int, now: float) -> bool:
+        """Whether a class (-1: any) failed there too lately to send a job that must not run twice."""
+        return (job.cls.effect != Effect.SAFE
+                and now - worker.last_error_at.get(class_index, -1e18) < ERROR_MEMORY_MS)
+
+    def _available(self, worker: Worker, job: Job, now: float) -> bool:
+        """Whether a job would start at once, by counts, else a report, else a recent 'full' or wait there."""
+        if self._failed_recently(worker, job, job.class_index, now):
             return False
-        slots = self._slots(w, now)
+        slots = self._known_slots(worker, now)
         if slots > 0.0:
-            return (out := self._out(w)) + job.slots <= slots or (out <= 0.0 and w.ready_at > 0.0)
-        free = self.reports.free(now, w, job.slots, job.memory)
+            return (slots_out := self._total_slots_out(worker)) + job.slots <= slots or (
+                slots_out <= 0.0 and worker.ready_at > 0.0)
+        free = self.reports.has_room(now, worker, job.slots, job.memory)
         if free is not None:
             return free
-        return not ((w.full_until > now and job.slots >= w.full_slots) or w.busy_until > now)
+        return not ((worker.full_until > now and job.slots >= worker.full_size) or worker.busy_until > now)
 
-    def _knows(self, now: float) -> bool:
-        """Whether sums of the gateways' counts tell of every worker who is free."""
-        return all(self._slots(w, now) > 0.0 for w in self.fleet.ready.values())
+    def _occupancy_known(self, now: float) -> bool:
+        """Whether the counts of all schedulers tell the free slots of every ready worker."""
+        return all(self._known_slots(worker, now) > 0.0 for worker in self.fleet.ready.values())
 
-    def _slots(self, w: Worker, now: float) -> float:
-        """The slots of a worker, where sums of the gateways' counts tell who is free; else 0."""
-        if not self.tells or not self.occupancy.complete(now):
+    def _known_slots(self, worker: Worker, now: float) -> float:
+        """The slots of a worker where the counts of all schedulers tell how many are in use; else 0."""
+        if not self.shares_counts or not self.occupancy.complete(now):
             return 0.0
-        slots = self.reports.idle_free_slots.get(w.kind, 0.0)
-        if w.ready_at > 0.0:  # cold: as many as a warm one's would run at once, and all of them slowly
-            return min(1.0, slots) * max(1.0, round(slots * self._warmth(w, now)))
+        slots = self.reports.idle_free_slots.get(worker.kind, 0.0)
+        if worker.ready_at > 0.0:  # cold: as many as it runs at the speed of a warm worker
+            return min(1.0, slots) * max(1.0, round(slots * self._warm_fraction(worker, now)))
         return round(slots)
 
-    def _out(self, w: Worker) -> float:
-        """The slots that all gateways have out at a worker."""
-        return w.slots_out + self.occupancy.out(w.id)
+    def _total_slots_out(self, worker: Worker) -> float:
+        """The slots that the attempts of all schedulers hold at a worker."""
+        return worker.slots_out + self.occupancy.out(worker.id)
 
-    def _wait_ms(self, w: Worker, job: Job, now: float) -> float:
-        """How long a job sent now would wait there."""
-        slots = self._slots(w, now)
+    def _expected_wait_ms(self, worker: Worker, job: Job, now: float) -> float:
+        """How long a job sent now would wait in the worker's queue."""
+        slots = self._known_slots(worker, now)
         if slots <= 0.0:
-            return self.reports.wait_ms(now, w, self.mean_response_ms)
-        slow = self._usual_ms(job, w) / exp(job.type.mean_log) / (job.hint if job.hint > 0 else 1.0)
-        return max(0.0, self._out(w) + job.slots - slots) / slots * self.mean_run_ms * slow
-
-    def _tell_count(self, w: Worker, now: float, more: bool) -> None:
-        """Tell the peers, when it is time, that this gateway's count at a worker has changed."""
-        if self.tells:
-            listed = self.fleet.workers.get(w.id)  # another than ``w`` if dropped and named anew since
+            return self.reports.wait_ms(now, worker, self.mean_response_ms)
+        slowdown = (self._expected_ms(job, worker) / exp(job.job_type.mean_log)
+                    / (job.hint_ms if job.hint_ms > 0 else 1.0))
+        return (max(0.0, self._total_slots_out(worker) + job.slots - slots) / slots * self.mean_run_ms
+                * slowdown)
+
+    def _announce_count(self, worker: Worker, now: float, more: bool) -> None:
+        """Note a change of this scheduler's count at a worker, and send what the exchange has due."""
+        if self.shares_counts:
+            listed = self.fleet.workers.get(worker.id)  # not ``worker`` if it was dropped and listed again
             slots_out = listed.slots_out if listed is not None else 0.0
-            self._tell(self.occupancy.changed(now, w.id, slots_out, more))
+            self._send_messages(self.occupancy.changed(now, worker.id, slots_out, more))
 
-    def _tell(self, messages: Sequence[Outgoing]) -> None:
-        """Send what the exchange of counts has to say, and note when it wants to be woken."""
+    def _send_messages(self, messages: Sequence[Outgoing]) -> None:
+        """Send messages of the occupancy exchange, and set timers for its wakeups."""
         for peer, data in messages:
             self.actions.send_to_peer(peer, data)
         while (wakeup := self.occupancy.take_wakeup()) is not None:
-            self._at(wakeup, _ALARM_EXCHANGE, None)
+            self._schedule(wakeup, _TIMER_EXCHANGE, None)
 
     def _rank(self, job: Job, now: float, pool: list[Worker]) -> tuple[Worker | None, int]:
-        """The first in gap order, and its tier: 0 available, 1 a short wait, 2 a long one, 3 ill, 4 and full.
+        """The first worker in gap order, and its tier.
 
-        With few jobs in flight, gaps of whole counts cannot express the shares; then only as many workers
+        Tiers: 0 available; 1 a short wait; 2 a long wait; 3 unhealthy but available; 4 unhealthy and busy.
+        With few jobs in flight, the gaps of whole counts cannot express the shares; then only as many workers
         as the counts can tell apart are drawn in proportion to the shares, and ranked.
         """
-        t = job.type
-        if t.stale and now >= t.solve_at:
-            t.solve(now, self.fleet.ready, self.fleet.kind_counts, self.rng.random())
-        rnd = self.rng.random
-        k = job.key_type
-        n, counts = (t.n, t.counts) if k is None else (k.n, k.counts)
-        # Of a key with none in flight the first available of its draw, as a draw of one worker: ranking
-        # more by their rates would move keys about, and each move is a fetch from the shared store.
-        want = (SAMPLE_BASE if k is None else 1) + SAMPLE_PER_JOB * n
-        if k is not None:
-            pool = self._drawn(job, pool, now)
-        size = len(pool)
-        everyone = want * 2 >= size or k is not None
-        draws = size if everyone else want * DRAWS
-        rates, kind_rates, top = t.rates, t.kind_rates, t.top
-        scale = n / t.total
+        job_type = job.job_type
+        if job_type.stale and now >= job_type.next_update_at:
+            job_type.update_rates(now, self.fleet.ready, self.fleet.kind_counts, self.rng.random())
+        draw = self.rng.random
+        key_type = job.key_type
+        in_flight, in_flight_at = (
+            (job_type.in_flight, job_type.in_flight_at) if key_type is None
+            else (key_type.in_flight, key_type.in_flight_at))
+        # A key with no job in flight goes to the first available worker in hash order.  Ranking more workers
+        # by their rates would move keys about, and each move is a fetch from the shared store.
+        wanted = (MIN_CANDIDATES if key_type is None else 1) + CANDIDATES_PER_JOB * in_flight
+        if key_type is not None:
+            pool = self._hash_order(job, pool, now)
+        pool_size = len(pool)
+        everyone = wanted * 2 >= pool_size or key_type is not None
+        draws = pool_size if everyone else wanted * DRAWS_PER_CANDIDATE
+        rates, kind_rates, max_rate = job_type.rates, job_type.kind_rates, job_type.max_rate
+        scale = in_flight / job_type.total_rate
         best: Worker | None = None
         best_tier, best_gap, best_rate, best_tie = 9, 0.0, 0.0, 0.0
-        tried = job.attempts
-        seen = 0
+        attempts = job.attempts
+        available_seen = 0
         for i in range(draws):
-            w = pool[i] if everyone else pool[int(rnd() * size)]
-            rate = self._rate(job, w, now) if k is not None else rates.get(w.id) or kind_rates[w.kind]
-            if not everyone and rnd() * top > rate:
+            worker = pool[i] if everyone else pool[int(draw() * pool_size)]
+            rate = (self._rate(job, worker, now) if key_type is not None
+                    else rates.get(worker.id) or kind_rates[worker.kind])
+            if not everyone and draw() * max_rate > rate:
                 continue
-            if tried and any(a.worker is w for a in tried):
+            if attempts and any(attempt.worker is worker for attempt in attempts):
                 continue
-            usable = self._usable(w, job, now)
+            usable = self._usable(worker, job, now)
             if not usable:
                 continue
-            available = self._available(w, job, now)
+            available = self._available(worker, job, now)
             if usable == 1:
                 tier = 3 if available else 4
             elif available:
                 tier = 0
-                seen += 1
+                available_seen += 1
             else:
-                tier = 1 if self._wait_ms(w, job, now) <= WAIT_OK * job.cls.aim_ms else 2
+                tier = 1 if self._expected_wait_ms(worker, job, now) <= SHORT_WAIT * job.cls.aim_ms else 2
             if tier > best_tier:
                 continue
-            gap = counts.get(w.id, 0) - rate * scale
+            gap = in_flight_at.get(worker.id, 0) - rate * scale
             if tier == best_tier:
                 if gap > best_gap:
                     continue
                 if gap == best_gap:
                     if rate < best_rate:
                         continue
-                    tie = rnd()
+                    tie = draw()
                     if rate == best_rate and tie <= best_tie:
                         continue
                     best_tie = tie
-            best, best_tier, best_gap, best_rate = w, tier, gap, rate
-            if seen >= want and (not everyone or k is not None):
+            best, best_tier, best_gap, best_rate = worker, tier, gap, rate
+            if available_seen >= wanted and (not everyone or key_type is not None):
                 break
         return best, best_tier
 
     def _pick(self, job: Job, now: float) -> tuple[Worker | None, int]:
-        """Own zone first, all zones when nothing there is available or it is known to be busy."""
+        """The worker and its tier: own zone first, all zones if none is available there or it is busy."""
         kind = job.cls.kind
-        group = job.ran_group
-        zones = self.reach.zones(self.rng.random)
-        everywhere = self.fleet.pool(zones, kind, job.index)
-        if job.looked and not job.attempts:
-            answered = [w for w in job.looked if w.state == WorkerState.READY
-                        and (now - w.report_at <= LOOK_TTL_MS or self._slots(w, now) > 0.0)]
+        first_worker = job.first_run_worker
+        zones = self.zone_reach.candidate_zones(self.rng.random)
+        everywhere = self.fleet.pool(zones, kind, job.class_index)
+        if job.probed and not job.attempts:
+            answered = [worker for worker in job.probed if worker.state == WorkerState.READY
+                        and (now - worker.report_at <= PROBE_TTL_MS or self._known_slots(worker, now) > 0.0)]
             if answered:
                 return self._rank(job, now, answered)
-        if group is not None and job.cls.effect == Effect.KEYED:
+        if first_worker is not None and job.cls.effect == Effect.KEYED:
             if job.cls.group == Group.ZONE:
-                everywhere = [w for w in everywhere if w.zone == group.zone]
+                everywhere = [worker for worker in everywhere if worker.zone == first_worker.zone]
             elif job.cls.group == Group.CELL:
-                everywhere = [w for w in everywhere if w.cell == group.cell]
+                everywhere = [worker for worker in everywhere if worker.cell == first_worker.cell]
             return self._rank(job, now, everywhere)
-        k = job.key_type
-        # A key seldom asked for has one home in all zones: with one in each, each zone would fetch it.
-        near = self._own_zone_reached and (k is None or any(k.has_met(wid, now) for wid in k.met))
-        if near and self.local_busy < LOCAL_BUSY and len(job.attempts) < 2:
-            local, tier = self._rank(job, now, self.fleet.pool((self.settings.zone,), kind, job.index))
+        key_type = job.key_type
+        # A rarely requested key has one home in all zones: with a home in each, each zone would fetch it.
+        prefers_own = self._prefers_own_zone and (
+            key_type is None
+            or any(key_type.holds_key(worker_id, now) for worker_id in key_type.last_sent_at))
+        if prefers_own and self.local_busy < LOCAL_BUSY_LIMIT and len(job.attempts) < 2:
+            local, tier = self._rank(
+                job, now, self.fleet.pool((self.settings.zone,), kind, job.class_index))
             if tier == 0:
                 return local, 0
             other, other_tier = self._rank(job, now, everywhere)
@@ -521,469 +551,490 @@
     # -- attempts --
 
     def _may_send(self, job: Job, now: float) -> bool:
-        """The one place that says whether a further attempt may do harm."""
-        if (job.over or len(job.attempts) >= self.settings.max_attempts
-                or now >= job.ends - self.settings.tick_ms):
+        """Whether a further attempt does no harm; no other place decides this."""
+        if (job.closed or len(job.attempts) >= self.settings.max_attempts
+                or now >= job.deadline_at - self.settings.tick_ms):
             return False
         effect = job.cls.effect
-        if job.open > 1 or (job.open and (effect == Effect.UNSAFE or not self.settings.second_copies)):
+        if job.open_attempts > 1 or (
+                job.open_attempts and (effect == Effect.UNSAFE or not self.settings.second_copies)):
             return False
-        if effect == Effect.SAFE or (job.ran_group is None and not job.open):
+        if effect == Effect.SAFE or (job.first_run_worker is None and not job.open_attempts):
             return True
         if effect == Effect.UNSAFE:
             return False
-        since = min([job.ran_since] if job.ran_group else [] + [a.sent_at for a in job.attempts if a.open])
-        return now - since < job.cls.window_ms - 2 * self.settings.tick_ms
+        first_at = min([job.first_run_at] if job.first_run_worker else []
+                       + [attempt.sent_at for attempt in job.attempts if attempt.open])
+        return now - first_at < job.cls.window_ms - 2 * self.settings.tick_ms
 
     def _may_refuse(self, job: Job) -> bool:
-        """The one place that says whether 'trying again is harmless' would be true."""
-        if job.cls.effect == Effect.SAFE or (job.ran_group is None and not job.open):
+        """Whether it is true that a retry by the client does no harm; no other place decides this."""
+        if job.cls.effect == Effect.SAFE or (job.first_run_worker is None and not job.open_attempts):
             return True
         return job.cls.effect == Effect.KEYED and job.cls.group == Group.ALL
 
-    def _send(self, job: Job, now: float) -> bool:
+    def _try_send(self, job: Job, now: float) -> bool:
         """Start the next attempt, if one may and should be made."""
         if not self._may_send(job, now):
             return False
-        w, tier = self._pick(job, now)
-        if w is None:
-            if not job.open:
+        worker, tier = self._pick(job, now)
+        if worker is None:
+            if not job.open_attempts:
                 self._give_up(job, now, "no-worker")
             return False
-        if self._may_refuse(job) and not job.open and (why := self._shed(job, w, tier, now)):
-            self._give_up(job, now, why)
+        if self._may_refuse(job) and not job.open_attempts and (
+                reason := self._shed_reason(job, worker, tier, now)):
+            self._give_up(job, now, reason)
             return False
-        self._send_to(job, w, now)
+        self._start_attempt(job, worker, now)
         return True
 
-    def _shed(self, job: Job, w: Worker, tier: int, now: float) -> str:
-        """Why it is turned away, if so: what is over a tenant's share goes first, then what would wait."""
+    def _shed_reason(self, job: Job, worker: Worker, tier: int, now: float) -> str:
+        """Why a job is shed, if it is: first what is over its tenant's share, then what would wait long."""
         share = self.settings.over_share_worth if job.over_share else 1.0
-        over = self.saturation - SHED_FROM - SHED_VALUE * self._value(job) ** 0.5 * share
-        if self.rng.random() * SHED_WIDTH < over or (tier > 0 and share < 0.5):
+        excess = self.saturation - SHED_FROM - SHED_VALUE_RANGE * self._relative_value(job) ** 0.5 * share
+        if self.rng.random() * SHED_WIDTH < excess or (tier > 0 and share < 0.5):
             return "strain"
-        patience = (SHED_WAIT + SHED_WAIT_VALUE * self._value(job)) * self._pressing_ms(job)
-        return "wait" if tier > 0 and self._wait_ms(w, job, now) > patience else ""
+        longest_wait_ms = (
+            (SHED_WAIT + SHED_WAIT_VALUE_RANGE * self._relative_value(job)) * self._tightest_aim_ms(job))
+        return "wait" if tier > 0 and self._expected_wait_ms(worker, job, now) > longest_wait_ms else ""
 
-    def _values(self) -> list[float]:
+    def _class_values(self) -> list[float]:
         """What a unit of workers' time earns on each class."""
         if self.settings.worth_by_work:
             return [c.worth for c in self.settings.classes]
         return [c.worth / exp(t.mean_log)
                 for c, t in zip(self.settings.classes, self.class_types, strict=True)]
 
-    def _value(self, job: Job) -> float:
-        """What this job earns for the slots and time it takes, as a share of the best class's."""
-        values = self._values()
-        share = values[job.index] / (max(values) or 1.0)
+    def _relative_value(self, job: Job) -> float:
+        """What the job earns for the slots and time it takes, as a share of the best class's."""
+        values = self._class_values()
+        share = values[job.class_index] / (max(values) or 1.0)
         return share if self.settings.worth_by_work else share / max(1.0, job.slots)
 
-    def _pressing_ms(self, job: Job) -> float:
-        """The shortest fixed part of an aim among the classes of no less value: who waits makes them wait."""
-        values = self._values()
+    def _tightest_aim_ms(self, job: Job) -> float:
+        """The shortest fixed part of an aim among classes of no less value, whose jobs may wait behind it."""
+        values = self._class_values()
         return min(c.aim_ms for c, v in zip(self.settings.classes, values, strict=True)
-                   if v >= values[job.index])
-
-    def _saw_start(self, job: Job, delay: float) -> None:
-        """Note how late a job starts, by what would be late for the most pressing class of no less value."""
-        if self.settings.tells_start and not job.seen_start:
-            job.seen_start = True
-            late = delay > STRAIN_LATE * self._pressing_ms(job)
-            self.saturation += (late - self.saturation) * STRAIN_START
-
-    def _send_to(self, job: Job, w: Worker, now: float) -> None:
-        local = w.zone == self.settings.zone
-        a = Attempt(job, len(job.attempts), w, now, local)
-        job.attempts.append(a)
-        job.open += 1
-        if job.cls.effect == Effect.KEYED and job.ran_group is None:
-            job.ran_group, job.ran_since = w, now
-        for t in (job.type, job.key_type):
-            if t is not None:
-                t.n += 1
-                t.counts[w.id] = t.counts.get(w.id, 0) + 1
+                   if v >= values[job.class_index])
+
+    def _record_start_delay(self, job: Job, delay_ms: float) -> None:
+        """Count a start as late or not, by what is late for the tightest class of no less value."""
+        if self.settings.tells_start and not job.start_recorded:
+            job.start_recorded = True
+            late = delay_ms > LATE_START_SHARE * self._tightest_aim_ms(job)
+            self.saturation += (late - self.saturation) * SATURATION_START_STEP
+
+    def _start_attempt(self, job: Job, worker: Worker, now: float) -> None:
+        local = worker.zone == self.settings.zone
+        attempt = Attempt(job, len(job.attempts), worker, now, local)
+        job.attempts.append(attempt)
+        job.open_attempts += 1
+        if job.cls.effect == Effect.KEYED and job.first_run_worker is None:
+            job.first_run_worker, job.first_run_at = worker, now
+        for job_type in (job.job_type, job.key_type):
+            if job_type is not None:
+                job_type.in_flight += 1
+                job_type.in_flight_at[worker.id] = job_type.in_flight_at.get(worker.id, 0) + 1
         if job.key_type is not None:
-            job.met = job.key_type.has_met(w.id, now)
-            job.key_type.met[w.id] = now
-        w.slots_out += job.slots
-        w.memory_out += job.memory
-        self._tell_count(w, now, more=True)
-        if w.ready_at > 0.0:
-            w.cold_allowance.spend(job.cost / self.mean_cost)
-        self.actions.send(job.id, w.id, 0.0)
-        self._at(now + self._patience(a), _ALARM_CHECK, a)
-
-    def _patience(self, a: Attempt) -> float:
-        """How long to wait for the next sign of an attempt before looking at it."""
-        if self.settings.tells_start and a.started_at < 0:
-            # Long jobs have long slack: they queue up elsewhere later than short ones, and seldom need to.
-            slack = a.job.cls.aim_ms + max(0.0, a.job.cls.aim_stretch - 1.0) * a.job.hint
-            usual = START_SLACK * self.start_ms[0 if a.local else 1] + self.settings.tick_ms
-            return max(usual, COPY_SLACK * slack)
-        if self.settings.progress_ms > 0 and (a.started_at >= 0 or not self.settings.tells_start):
-            return max(QUIET_NOTES * self.settings.progress_ms, QUIET_MIN_MS)
-        job = a.job
-        usual = exp(job.type.mean_log) * (job.hint if job.hint > 0 else 1.0)
-        return max(QUIET_MIN_MS, QUIET_TIMES * usual)
-
-    def _free(self, a: Attempt, now: float) -> None:
-        """Its slots are counted no longer."""
-        if a.holds:
-            a.holds = False
-            a.worker.slots_out -= a.job.slots
-            a.worker.memory_out -= a.job.memory
-            self._tell_count(a.worker, now, more=False)
-
-    def _usual_ms(self, job: Job, w: Worker) -> float:
-        """The usual response time of such a job there."""
-        t = job.type
-        slow = t.total / max(1, len(self.fleet.ready)) / (t.rates.get(w.id) or t.kind_rates[w.kind])
-        return exp(t.mean_log) * (job.hint if job.hint > 0 else 1.0) * slow
-
-    def _again(self, a: Attempt, now: float) -> None:
-        """An attempt that nothing is heard of: send its job elsewhere where that does no harm."""
-        if a.job.cls.effect == Effect.SAFE and now < a.job.aim_at:
+            job.key_cached = job.key_type.holds_key(worker.id, now)
+            job.key_type.last_sent_at[worker.id] = now
+        worker.slots_out += job.slots
+        worker.memory_out += job.memory
+        self._announce_count(worker, now, more=True)
+        if worker.ready_at > 0.0:
+            worker.cold_allowance.spend(job.cost / self.mean_cost)
+        self.actions.send(job.id, worker.id, 0.0)
+        self._schedule(now + self._silence_limit_ms(attempt), _TIMER_CHECK, attempt)
+
+    def _silence_limit_ms(self, attempt: Attempt) -> float:
+        """How long to wait for the next sign of an attempt before checking on it."""
+        if self.settings.tells_start and attempt.started_at < 0:
+            # Long jobs have more slack: they queue elsewhere later than short ones, and seldom need to.
+            slack = attempt.job.cls.aim_ms + (
+                max(0.0, attempt.job.cls.aim_stretch - 1.0) * attempt.job.hint_ms)
+            usual_ms = (START_SLACK * self.start_delay_ms[0 if attempt.in_own_zone else 1]
+                        + self.settings.tick_ms)
+            return max(usual_ms, HEDGE_SLACK_SHARE * slack)
+        if self.settings.progress_ms > 0 and (attempt.started_at >= 0 or not self.settings.tells_start):
+            return max(SILENT_PROGRESS_INTERVALS * self.settings.progress_ms, MIN_SILENCE_MS)
+        job = attempt.job
+        usual_ms = exp(job.job_type.mean_log) * (job.hint_ms if job.hint_ms > 0 else 1.0)
+        return max(MIN_SILENCE_MS, SILENT_RESPONSE_TIMES * usual_ms)
+
+    def _release(self, attempt: Attempt, now: float) -> None:
+        """Stop counting the attempt's slots and memory at its worker."""
+        if attempt.holds_slots:
+            attempt.holds_slots = False
+            attempt.worker.slots_out -= attempt.job.slots
+            attempt.worker.memory_out -= attempt.job.memory
+            self._announce_count(attempt.worker, now, more=False)
+
+    def _expected_ms(self, job: Job, worker: Worker) -> float:
+        """The expected response time of such a job at a worker."""
+        job_type = job.job_type
+        slowdown = job_type.total_rate / max(1, len(self.fleet.ready)) / (
+            job_type.rates.get(worker.id) or job_type.kind_rates[worker.kind])
+        return exp(job_type.mean_log) * (job.hint_ms if job.hint_ms > 0 else 1.0) * slowdown
+
+    def _resend(self, attempt: Attempt, now: float) -> None:
+        """Send the job of a silent attempt to another worker, where that does no harm."""
+        if attempt.job.cls.effect == Effect.SAFE and now < attempt.job.aim_at:
             if self.settings.second_copies:
-                self._send(a.job, now)
+                self._try_send(attempt.job, now)
             else:
-                self._cancel(a)  # and its outcome sends the job
-
-    def _check(self, a: Attempt, now: float) -> None:
-        """An attempt is due for a look: does it wait, is its worker silent?"""
-        job, w = a.job, a.worker
-        if not a.open or job.over:
-            if not a.open and now >= a.until - 0.02:
-                self._free(a, now)
+                self._cancel_attempt(attempt)  # its outcome sends the job again
+
+    def _check_attempt(self, attempt: Attempt, now: float) -> None:
+        """No sign came from an attempt in time: hedge if it waits in a queue, eject its worker if silent."""
+        job, worker = attempt.job, attempt.worker
+        if not attempt.open or job.closed:
+            if not attempt.open and now >= attempt.release_at - 0.02:
+                self._release(attempt, now)
             return
-        if self.settings.tells_start and a.started_at < 0:
-            # It waits in a queue, which is no sign of illness: striking busy workers would feed a jam.
-            if now - job.arrived > STRAIN_LATE * self._pressing_ms(job):
-                self._saw_start(job, now - job.arrived)
-            if not a.waited:
-                a.waited = True
-                w.busy_until = now + BUSY_MS * (0.5 + self.rng.random())
-                self._saw_local(a, 1.0)
-            if a.sent_at < w.begun - OVERTAKEN_MS and self.reports.in_order:
-                self._free(a, now)  # later ones have started: it waits in no queue, its connection is silent
-                self._again(a, now)
+        if self.settings.tells_start and attempt.started_at < 0:
+            # Waiting in a queue is no sign of illness: ejecting busy workers would worsen an overload.
+            if now - job.arrived_at > LATE_START_SHARE * self._tightest_aim_ms(job):
+                self._record_start_delay(job, now - job.arrived_at)
+            if not attempt.queued:
+                attempt.queued = True
+                worker.busy_until = now + BUSY_MS * (0.5 + self.rng.random())
+                self._record_local_wait(attempt, 1.0)
+            if attempt.sent_at < worker.last_started_sent_at - OVERTAKEN_MS and self.reports.in_order:
+                # Later attempts have started there: it is in no queue, its connection is silent.
+                self._release(attempt, now)
+                self._resend(attempt, now)
             else:
-                self._copy(job, now)
+                self._hedge(job, now)
         else:
-            heard = a.noted_at if a.started_at >= 0 else max(a.noted_at, w.heard_at)
-            patience = self._patience(a)
-            if now - heard < patience * 0.98:
-                self._at(heard + patience, _ALARM_CHECK, a)
+            last_sign_at = (attempt.last_sign_at if attempt.started_at >= 0
+                            else max(attempt.last_sign_at, worker.last_heard_at))
+            silence_limit_ms = self._silence_limit_ms(attempt)
+            if now - last_sign_at < silence_limit_ms * 0.98:
+                self._schedule(last_sign_at + silence_limit_ms, _TIMER_CHECK, attempt)
                 return
-            if now - w.heard_at >= patience:
-                self._strike(w, now, "silent")
-            long = now - heard > AGAIN_TIMES * self._usual_ms(job, w)
-            # Else it may hold its slot, as all others there do; the sums that gateways tell must say so.
-            if long and (w.heard_at > a.sent_at or not self.tells):
-                self._free(a, now)  # its connection is silent, or the work is not worth its place
-            if long or self.settings.second_copies:
-                self._again(a, now)
-        if a.open and not job.over:
-            self._at(now + self._patience(a), _ALARM_CHECK, a)
-
-    def _copy(self, job: Job, now: float) -> None:
-        """A job that waits tries the next in gap order too; the first start calls the rest off."""
+            if now - worker.last_heard_at >= silence_limit_ms:
+                self._eject(worker, now, "silent")
+            overdue = now - last_sign_at > RESEND_AFTER * self._expected_ms(job, worker)
+            # A worker that is silent altogether may still hold the slot, as all others there, and the counts
+            # that schedulers tell each other must include it.
+            if overdue and (worker.last_heard_at > attempt.sent_at or not self.shares_counts):
+                self._release(attempt, now)  # its connection is silent, or the work is not worth its slot
+            if overdue or self.settings.second_copies:
+                self._resend(attempt, now)
+        if attempt.open and not job.closed:
+            self._schedule(now + self._silence_limit_ms(attempt), _TIMER_CHECK, attempt)
+
+    def _hedge(self, job: Job, now: float) -> None:
+        """Queue a waiting job at the next worker in gap order too; the first start cancels the others."""
         if job.cls.effect != Effect.SAFE or not (self.settings.may_cancel and self.settings.second_copies):
             return
-        if self.reports.useful:
-            return  # reports tell who is free; where a cancel stops nothing, every copy would run
+        if self.reports.has_free_slots:
+            return  # reports tell who is free; where a cancel stops nothing, every attempt would run
         waiting = 0
-        for a in job.attempts:
-            if a.open and not a.cancelled:
-                if a.started_at >= 0:
+        for attempt in job.attempts:
+            if attempt.open and not attempt.cancelled:
+                if attempt.started_at >= 0:
                     return
                 waiting += 1
-        # Where a cancel stops nothing called-off copies stay in queues, which overflow: go by 'full' answers.
-        if waiting <= WAITING_COPIES * (1.0 - self.full / COPY_FULL):
-            self._send(job, now)
-
-    def _saw_local(self, a: Attempt, busy: float) -> None:
-        if a.local:
-            self.local_busy += (busy - self.local_busy) * LOCAL_STEP
-
-    def on_started(self, now: float, request: int, attempt: int) -> None:
-        """A worker began: the copies that still wait elsewhere are called off."""
-        a = self._attempt(request, attempt)
-        if a is None or not a.open:
+        # Where a cancel stops nothing, cancelled attempts stay in the queues, which overflow.  So the more
+        # 'full' answers come, the fewer hedges are sent.
+        if waiting <= MAX_WAITING_HEDGES * (1.0 - self.full_share / HEDGE_MAX_FULL_SHARE):
+            self._try_send(job, now)
+
+    def _record_local_wait(self, attempt: Attempt, busy: float) -> None:
+        if attempt.in_own_zone:
+            self.local_busy += (busy - self.local_busy) * LOCAL_BUSY_STEP
+
+    def on_started(self, now: float, request: int, attempt_index: int) -> None:
+        """A worker began an attempt: cancel those that still wait elsewhere."""
+        attempt = self._find_attempt(request, attempt_index)
+        if attempt is None or not attempt.open:
             return
-        job, w = a.job, a.worker
-        a.started_at = a.noted_at = now
-        w.begun = max(w.begun, a.sent_at)
-        self._well(w, now)
-        delay = now - a.sent_at
-        i = 0 if a.local else 1
-        if not a.waited:
-            self.start_ms[i] += (min(delay, 3 * self.start_ms[i]) - self.start_ms[i]) * 0.15
-            self._saw_local(a, 0.0)
-            w.busy_until = -1e18
-        if job.over or a.cancelled:
+        job, worker = attempt.job, attempt.worker
+        attempt.started_at = attempt.last_sign_at = now
+        worker.last_started_sent_at = max(worker.last_started_sent_at, attempt.sent_at)
+        self._mark_healthy(worker, now)
+        delay_ms = now - attempt.sent_at
+        zone_index = 0 if attempt.in_own_zone else 1
+        if not attempt.queued:
+            self.start_delay_ms[zone_index] += (
+                min(delay_ms, 3 * self.start_delay_ms[zone_index]) - self.start_delay_ms[zone_index]) * 0.15
+            self._record_local_wait(attempt, 0.0)
+            worker.busy_until = -1e18
+        if job.closed or attempt.cancelled:
             return
-        if self._hopeless(job, now + self._sure_ms(job, self.run[w.kind])):
-            self._cancel(a)  # it would run to its end for nothing; a faster worker may still do
+        if self._too_late(job, now + self._min_run_ms(job, self.run_ms_per_hint[worker.kind])):
+            # It would run to its end for nothing; a faster worker may still be in time.
+            self._cancel_attempt(attempt)
             return
         job.started = True
-        self._saw_start(job, now - job.arrived)
-        for b in job.attempts:
-            if b is not a and b.open and not b.cancelled:
-                # Of two that run, the one that has done more goes on.
-                loser = a if b.started_at >= 0 else b
-                self._cancel(loser)
-                if loser is a:
+        self._record_start_delay(job, now - job.arrived_at)
+        for other in job.attempts:
+            if other is not attempt and other.open and not other.cancelled:
+                # Of two that run, the one that began first goes on, as it has done more.
+                loser = attempt if other.started_at >= 0 else other
+                self._cancel_attempt(loser)
+                if loser is attempt:
                     break
-        self._arm(now)
+        self._arm_timer(now)
 
     @staticmethod
-    def _sure_ms(job: Job, run: float) -> float:
-        """The time that the job is sure to run, where a hinted ms usually takes ``run``."""
-        return RUN_SURE * run * job.hint
+    def _min_run_ms(job: Job, run_ms_per_hint: float) -> float:
+        """The least time that the job will run, given the usual running time per hinted ms."""
+        return MIN_RUN_SHARE * run_ms_per_hint * job.hint_ms
 
     @staticmethod
-    def _hopeless(job: Job, finish: float) -> bool:
+    def _too_late(job: Job, finish_at: float) -> bool:
         """Whether a repeatable job with a hint would end too late to be worth anything."""
-        return (job.hint > 0 and job.cls.late_worth <= 0 and job.cls.effect == Effect.SAFE
-                and finish > job.aim_at)
-
-    def _cancel(self, a: Attempt) -> None:
-        if self.settings.may_cancel and a.open and not a.cancelled:
-            a.cancelled = True
-            self.actions.cancel(a.job.id, a.index)
-
-    def on_progress(self, now: float, request: int, attempt: int, done: float) -> None:
-        """A sign of life from a worker and its attempt."""
-        a = self._attempt(request, attempt)
-        if a is not None and a.open:
-            if a.started_at < 0:
-                a.started_at = now
-            a.noted_at = now
-            self._well(a.worker, now)
-            job = a.job
-            if done > 0 and not job.over and self._hopeless(
-                    job, now + RUN_SURE * (now - a.started_at) * (1.0 - done) / done):
+        return (job.hint_ms > 0 and job.cls.late_worth <= 0 and job.cls.effect == Effect.SAFE
+                and finish_at > job.aim_at)
+
+    def _cancel_attempt(self, attempt: Attempt) -> None:
+        if self.settings.may_cancel and attempt.open and not attempt.cancelled:
+            attempt.cancelled = True
+            self.actions.cancel(attempt.job.id, attempt.index)
+
+    def on_progress(self, now: float, request: int, attempt_index: int, done: float) -> None:
+        """A share of an attempt is done: a sign of life, and an estimate of its end."""
+        attempt = self._find_attempt(request, attempt_index)
+        if attempt is not None and attempt.open:
+            if attempt.started_at < 0:
+                attempt.started_at = now
+            attempt.last_sign_at = now
+            self._mark_healthy(attempt.worker, now)
+            job = attempt.job
+            if done > 0 and not job.closed and self._too_late(
+                    job, now + MIN_RUN_SHARE * (now - attempt.started_at) * (1.0 - done) / done):
                 self._give_up(job, now, "hopeless")
 
-    def on_stream(self, now: float, request: int, attempt: int) -> None:
-        """The answer streams: the attempt is the client's, and no deadline counts any more."""
-        a = self._attempt(request, attempt)
-        if a is None or not a.open:
+    def on_stream(self, now: float, request: int, attempt_index: int) -> None:
+        """The answer streams: the attempt belongs to the client, and no deadline applies any more."""
+        attempt = self._find_attempt(request, attempt_index)
+        if attempt is None or not attempt.open:
             return
-        self._well(a.worker, now)
-        a.job.over = True
-        for b in a.job.attempts:
-            if b is not a:
-                self._cancel(b)
+        self._mark_healthy(attempt.worker, now)
+        attempt.job.closed = True
+        for other in attempt.job.attempts:
+            if other is not attempt:
+                self._cancel_attempt(other)
 
-    def _attempt(self, request: int, attempt: int) -> Attempt | None:
+    def _find_attempt(self, request: int, attempt_index: int) -> Attempt | None:
         job = self.jobs.get(request)
-        if job is None or not 0 <= attempt < len(job.attempts):
+        if job is None or not 0 <= attempt_index < len(job.attempts):
             return None
-        return job.attempts[attempt]
+        return job.attempts[attempt_index]
 
     # -- health --
 
-    def _well(self, w: Worker, now: float) -> None:
-        w.heard_at = now
-        w.resets = 0
-        self.reach.saw(w.zone, failed=False)
-        if w.strikes and (w.errors < ERRORS_ILL or now - w.erred.get(-1, -1e18) >= ERRORS_MS):
-            w.strikes = 0
-            w.trial = False
-            w.ejected_until = -1e18
-
-    def _strike(self, w: Worker, now: float, why: str, most: int = STRIKE_MAX) -> None:
-        """Rule a worker out for a growing, jittered time; then one job at a time is its trial."""
-        if w.ejected_until > now:
+    def _mark_healthy(self, worker: Worker, now: float) -> None:
+        worker.last_heard_at = now
+        worker.resets = 0
+        self.zone_reach.record(worker.zone, failed=False)
+        if worker.ejections and (worker.error_rate < ERROR_RATE_EJECT
+                                 or now - worker.last_error_at.get(-1, -1e18) >= ERROR_MEMORY_MS):
+            worker.ejections = 0
+            worker.half_open = False
+            worker.ejected_until = -1e18
+
+    def _eject(self, worker: Worker, now: float, reason: str, longest: int = EJECTION_MAX) -> None:
+        """Eject a worker for a growing, jittered time; after that, it is tried with one job at a time."""
+        if worker.ejected_until > now:
             return
-        if w.strikes == 2:
-            self._log(f"worker {w.id} ruled out: {why}")
-        times = min(most, 1 << min(w.strikes, 8))
-        w.strikes += 1
-        w.trial = True
-        w.ejected_until = now + STRIKE_MS * times * (0.75 + 0.5 * self.rng.random())
+        if worker.ejections == 2:
+            self._log(f"worker {worker.id} ejected for the third time in a row: {reason}")
+        multiple = min(longest, 1 << min(worker.ejections, 8))
+        worker.ejections += 1
+        worker.half_open = True
+        worker.ejected_until = now + EJECTION_MS * multiple * (0.75 + 0.5 * self.rng.random())
 
     # -- outcomes and final answers --
 
-    def on_outcome(self, now: float, request: int, attempt: int, status: int, latency_ms: float,
+    def on_outcome(self, now: float, request: int, attempt_index: int, status: int, latency_ms: float,
                    closed: bool, report: tuple[float, ...]) -> None:
-        """An attempt ended: learn from it, and go on with its request if that is still owed."""
-        a = self._attempt(request, attempt)
-        if a is None or not a.open:
+        """An attempt ended: learn from it, and go on with its request if that still needs an answer."""
+        attempt = self._find_attempt(request, attempt_index)
+        if attempt is None or not attempt.open:
             return
-        job, w = a.job, a.worker
-        a.open = False
-        job.open -= 1
-        for t in (job.type, job.key_type):
-            if t is not None:
-                t.n -= 1
-                t.counts[w.id] -= 1
-                if not t.counts[w.id]:
-                    del t.counts[w.id]
-        if status in UNHEARD and a.holds:
-            # It may run on.  Guards against work that nobody waits for but that takes slots all the same.
-            usual = self._usual_ms(job, w)
-            a.until = now + max(REST_LEAST * usual, usual - (now - max(a.started_at, a.sent_at)))
-            self._at(a.until, _ALARM_CHECK, a)
+        job, worker = attempt.job, attempt.worker
+        attempt.open = False
+        job.open_attempts -= 1
+        for job_type in (job.job_type, job.key_type):
+            if job_type is not None:
+                job_type.in_flight -= 1
+                job_type.in_flight_at[worker.id] -= 1
+                if not job_type.in_flight_at[worker.id]:
+                    del job_type.in_flight_at[worker.id]
+        if status in POSSIBLY_RUNNING and attempt.holds_slots:
+            # The worker may run it on.  Guards against slots counted as free while abandoned work holds them.
+            usual_ms = self._expected_ms(job, worker)
+            attempt.release_at = now + max(MIN_REST_SHARE * usual_ms,
+                                           usual_ms - (now - max(attempt.started_at, attempt.sent_at)))
+            self._schedule(attempt.release_at, _TIMER_CHECK, attempt)
         else:
-            self._free(a, now)
+            self._release(attempt, now)
         if report:
-            self._take_report(now, w, report)
-        self.full += ((status == Status.FULL) - self.full) * FULL_STEP
+            self._record_report(now, worker, report)
+        self.full_share += ((status == Status.FULL) - self.full_share) * FULL_SHARE_STEP
         if status == Status.OK:
-            w.errors -= w.errors * ERROR_STEP
-            self._well(w, now)
-            w.full_times = 0
-            if w.ready_at <= 0.0:
-                self.served_cost = (self.served_cost * exp((self.served_at - now) / RATE_MS)
-                                    + job.cost / self.mean_cost / max(1, self.warm))
+            worker.error_rate -= worker.error_rate * ERROR_RATE_STEP
+            self._mark_healthy(worker, now)
+            worker.full_count = 0
+            if worker.ready_at <= 0.0:
+                self.served_cost = (self.served_cost * exp((self.served_at - now) / SERVED_RATE_MS)
+                                    + job.cost / self.mean_cost / max(1, self.warm_workers))
                 self.served_at = now
-            self.mean_response_ms += (latency_ms - self.mean_response_ms) * MEAN_STEP
-            ran = now - a.started_at if a.started_at >= 0 else latency_ms
-            self.mean_run_ms += (ran - self.mean_run_ms) * MEAN_STEP
-            if job.hint > 0 and a.started_at >= 0:
-                self.run[w.kind] += ((now - a.started_at) / job.hint - self.run[w.kind]) * RUN_STEP
+            self.mean_response_ms += (latency_ms - self.mean_response_ms) * MIN_MEAN_STEP
+            run_ms = now - attempt.started_at if attempt.started_at >= 0 else latency_ms
+            self.mean_run_ms += (run_ms - self.mean_run_ms) * MIN_MEAN_STEP
+            if job.hint_ms > 0 and attempt.started_at >= 0:
+                self.run_ms_per_hint[worker.kind] += (
+                    (now - attempt.started_at) / job.hint_ms - self.run_ms_per_hint[worker.kind]
+                ) * RUN_TIME_STEP
             if latency_ms > 0:
-                job.type.add(now, w, latency_ms / job.hint if job.hint > 0 else latency_ms, job.met)
+                job.job_type.record(now, worker, latency_ms / job.hint_ms if job.hint_ms > 0 else latency_ms,
+                                    job.key_cached)
         elif status == Status.FULL:
-            w.heard_at = now
-            w.full_slots = min(w.full_slots, job.slots) if w.full_until > now else job.slots
-            w.full_until = now + FULL_BAR_MS * (1 << min(w.full_times, 2)) * (0.5 + self.rng.random())
-            w.full_times += 1
-            self._saw_start(job, 1e18)
+            worker.last_heard_at = now
+            worker.full_size = min(worker.full_size, job.slots) if worker.full_until > now else job.slots
+            worker.full_until = (
+                now + FULL_BACKOFF_MS * (1 << min(worker.full_count, 2)) * (0.5 + self.rng.random()))
+            worker.full_count += 1
+            self._record_start_delay(job, 1e18)
         elif status == Status.ERROR:
-            w.erred[job.index] = w.erred[-1] = w.heard_at = now
-            w.errors += (1.0 - w.errors) * ERROR_STEP
-            if w.errors >= ERRORS_ILL:
-                self._strike(w, now, "errors", ERRORS_BAR)
+            worker.last_error_at[job.class_index] = worker.last_error_at[-1] = worker.last_heard_at = now
+            worker.error_rate += (1.0 - worker.error_rate) * ERROR_RATE_STEP
+            if worker.error_rate >= ERROR_RATE_EJECT:
+                self._eject(worker, now, "errors", ERROR_EJECTION_MAX)
         elif status == Status.CONNECT_FAILED:
-            self.reach.saw(w.zone, failed=True)
-            self._strike(w, now, "no connection")
-        elif status == Status.RESET and not a.cancelled:
-            w.resets += 1
-            if w.resets >= RESETS:
-                self._strike(w, now, "reset")
+            self.zone_reach.record(worker.zone, failed=True)
+            self._eject(worker, now, "no connection")
+        elif status == Status.RESET and not attempt.cancelled:
+            worker.resets += 1
+            if worker.resets >= RESETS_TO_EJECT:
+                self._eject(worker, now, "reset")
         if status not in NEVER_RAN:
-            if job.ran_group is None:
-                job.ran_group, job.ran_since = w, a.sent_at
-        elif job.ran_group is w and job.cls.effect == Effect.KEYED:
-            self._recount(job)
+            if job.first_run_worker is None:
+                job.first_run_worker, job.first_run_at = worker, attempt.sent_at
+        elif job.first_run_worker is worker and job.cls.effect == Effect.KEYED:
+            self._reset_first_run(job)
         if closed or status == Status.OK:
-            self._over(job)
-        elif not job.over and not job.open:
-            if status == Status.MOOT or not self._send(job, now):
-                if not job.over:
+            self._close(job)
+        elif not job.closed and not job.open_attempts:
+            if status == Status.MOOT or not self._try_send(job, now):
+                if not job.closed:
                     self._give_up(job, now, "tried")
-        if job.over and not job.open:
+        if job.closed and not job.open_attempts:
             self.jobs.pop(request, None)
-        self._arm(now)
-
-    def _recount(self, job: Job) -> None:
-        """A keyed attempt proved not to have run: the group is that of the first that may have."""
-        job.ran_group = None
-        for a in job.attempts:
-            if a.open:
-                job.ran_group, job.ran_since = a.worker, a.sent_at
+        self._arm_timer(now)
+
+    def _reset_first_run(self, job: Job) -> None:
+        """A keyed attempt provably did not run: the first open one now determines the group."""
+        job.first_run_worker = None
+        for attempt in job.attempts:
+            if attempt.open:
+                job.first_run_worker, job.first_run_at = attempt.worker, attempt.sent_at
                 return
 
-    def _take_report(self, now: float, w: Worker, report: tuple[float, ...]) -> None:
-        r = self.reports
-        fresh, known = report != w.report, len(r.idle_free_slots)
-        r.take(now, w, report)
-        if len(r.idle_free_slots) > known:
-            self._tell(self.occupancy.announce_capacity(r.idle_free_slots))
-        if r.useful and fresh and not self.looks and not self.settings.tells_start:
-            self.saturation += ((report[r.slots] < 1.0) - self.saturation) * STRAIN_REPORT
-        if r.inflight >= 0:
-            self.quotas.saw_report(w.slots_out, report[r.inflight])
-
-    def _over(self, job: Job) -> None:
-        job.over = True
-        for a in job.attempts:
-            if a.open:
-                self._cancel(a)
-
-    def _give_up(self, job: Job, now: float, why: str) -> None:
-        """The final answer: a refusal where it would be true, else a failure."""
-        self.give_up_reason = why
+    def _record_report(self, now: float, worker: Worker, report: tuple[float, ...]) -> None:
+        reports = self.reports
+        changed, known_kinds = report != worker.report, len(reports.idle_free_slots)
+        reports.record(now, worker, report)
+        if len(reports.idle_free_slots) > known_kinds:
+            self._send_messages(self.occupancy.announce_capacity(reports.idle_free_slots))
+        if reports.has_free_slots and changed and not self.probes_first and not self.settings.tells_start:
+            self.saturation += (
+                (report[reports.slots_index] < 1.0) - self.saturation) * SATURATION_REPORT_STEP
+        if reports.inflight_index >= 0:
+            self.quotas.record_report(worker.slots_out, report[reports.inflight_index])
+
+    def _close(self, job: Job) -> None:
+        job.closed = True
+        for attempt in job.attempts:
+            if attempt.open:
+                self._cancel_attempt(attempt)
+
+    def _give_up(self, job: Job, now: float, reason: str) -> None:
+        """Give the final answer: a refusal if a retry is harmless, else a failure."""
+        self.give_up_reason = reason
         if self._may_refuse(job):
-            # Spread: who is refused together must not come back together.
-            wait = min(RETURN_MS * (0.6 + 0.8 * self.rng.random()), self.settings.max_retry_after_ms)
-            self.actions.refuse(job.id, wait if self.settings.retry_after else 0.0)
+            # Jittered: clients that are refused together must not return together.
+            retry_after_ms = min(RETRY_AFTER_MS * (0.6 + 0.8 * self.rng.random()),
+                                 self.settings.max_retry_after_ms)
+            self.actions.refuse(job.id, retry_after_ms if self.settings.retry_after else 0.0)
         else:
             self.actions.fail(job.id)
-        self._over(job)
-        if not job.open:
+        self._close(job)
+        if not job.open_attempts:
             self.jobs.pop(job.id, None)
 
     def on_client_gone(self, now: float, request: int) -> None:
-        """Nothing is owed any more."""
+        """The client left: no answer is needed any more."""
         job = self.jobs.get(request)
         if job is not None:
-            self._over(job)
-            if not job.open:
+            self._close(job)
+            if not job.open_attempts:
                 del self.jobs[request]
 
     # -- timers --
 
-    def _at(self, when: float, what: int, of: Attempt | Job | None) -> None:
-        self.serial += 1
-        heappush(self.heap, (when, self.serial, what, of))
+    def _schedule(self, due: float, kind: int, subject: Attempt | Job | None) -> None:
+        self.timer_serial += 1
+        heappush(self.timers, (due, self.timer_serial, kind, subject))
 
-    def _arm(self, now: float) -> None:
-        """Keep one alarm pending, for the earliest thing that is due."""
-        if self.heap:
-            due = self.heap[0][0]
-            if self.armed_at == 0.0 or due < self.armed_at:
-                self.armed_at = due
+    def _arm_timer(self, now: float) -> None:
+        """Keep one timer of the host pending, for the earliest entry that is due."""
+        if self.timers:
+            due = self.timers[0][0]
+            if self.timer_due_at == 0.0 or due < self.timer_due_at:
+                self.timer_due_at = due
                 self.actions.set_timer(max(0.0, due - now), 1)
 
     def on_timer(self, now: float, token: int) -> None:
-        """Do what is due."""
-        heap = self.heap
-        if self.armed_at and now >= self.armed_at - 0.01:
-            self.armed_at = 0.0
-        while heap and heap[0][0] <= now + 0.01:
-            due, _, what, of = heappop(heap)
-            if isinstance(of, Attempt):
-                self._check(of, now)
-            elif isinstance(of, Job):
-                if what == _ALARM_LOOK:
-                    self._looked(of, now)
-                elif not of.over and (what == _ALARM_END or not of.started):
-                    self._give_up(of, now, "late")
-            elif what == _ALARM_EXCHANGE:
-                self._tell(self.occupancy.on_wakeup(now, due, self.rng.random))
-            elif what == _ALARM_LIST and not self.watching:
+        """Process every timer that is due."""
+        timers = self.timers
+        if self.timer_due_at and now >= self.timer_due_at - 0.01:
+            self.timer_due_at = 0.0
+        while timers and timers[0][0] <= now + 0.01:
+            due, _, kind, subject = heappop(timers)
+            if isinstance(subject, Attempt):
+                self._check_attempt(subject, now)
+            elif isinstance(subject, Job):
+                if kind == _TIMER_PROBES:
+                    self._on_probes_done(subject, now)
+                elif not subject.closed and (kind == _TIMER_DEADLINE or not subject.started):
+                    self._give_up(subject, now, "late")
+            elif kind == _TIMER_EXCHANGE:
+                self._send_messages(self.occupancy.on_wakeup(now, due, self.rng.random))
+            elif kind == _TIMER_LIST and not self.watching:
                 self.actions.watch(True)
-        self._arm(now)
+        self._arm_timer(now)
 
-    def on_probe_result(self, now: float, worker: int, status: int, latency_ms: float,
+    def on_probe_result(self, now: float, worker_id: int, status: int, latency_ms: float,
                         report: tuple[float, ...]) -> None:
-        """Learn from a probe."""
-        w = self.fleet.workers.get(worker)
-        if w is not None:
+        """A probe ended: learn from it, and go on with the jobs that wait for it."""
+        worker = self.fleet.workers.get(worker_id)
+        if worker is not None:
             if report:
-                self._take_report(now, w, report)
+                self._record_report(now, worker, report)
             if status not in (Status.OK, Status.MOOT):
-                self._strike(w, now, "no answer to a probe")
-        for job in self.looking.pop(worker, ()):
-            job.looks_out -= 1
-            if job.looks_out == 0:
-                self._looked(job, now)
-        self._arm(now)
+                self._eject(worker, now, "no answer to a probe")
+        for job in self.awaiting_probe.pop(worker_id, ()):
+            job.probes_pending -= 1
+            if job.probes_pending == 0:
+                self._on_probes_done(job, now)
+        self._arm_timer(now)
 
     def on_peer(self, now: float, sender: int, data: bytes) -> None:
-        """Another gateway tells what it has out."""
-        idle_free = self.reports.idle_free_slots
-        found = self.occupancy.on_message(now, sender, data, idle_free, self.rng.random)
-        for kind, slots in found.capacities.items():
-            idle_free.setdefault(kind, float(slots))
-        self._tell(found.replies)
-        self._arm(now)
+        """Another scheduler sent a message of the occupancy exchange."""
+        idle_free_slots = self.reports.idle_free_slots
+        received = self.occupancy.on_message(now, sender, data, idle_free_slots, self.rng.random)
+        for kind, slots in received.capacities.items():
+            idle_free_slots.setdefault(kind, float(slots))
+        self._send_messages(received.replies)
+        self._arm_timer(now)
 
     def _log(self, text: str) -> None:
-        if self.lines > 0:
-            self.lines -= 1
+        if self.log_lines_left > 0:
+            self.log_lines_left -= 1
             self.actions.log(text)
--- a/gaphub/profiles.py
+++ b/gaphub/profiles.py
@@ -1,7 +1,9 @@
-"""Profiles of job types: response times by worker, the shares that follow, and which workers met a key.
+"""Profiles of job types: response times by worker, the shares that follow, and which workers hold a key.
 
-Pure: no I/O, no clock, no randomness; part of the decisions, whose interface stands in ``interface.py``.
-Shares are the normalised inverse of mean response times; a worker without samples borrows its kind's.
+Pure: no I/O, no clock, no randomness; part of the decisions, whose interface is defined in ``interface.py``.
+Shares are the normalised inverse of mean response times; a worker without samples has those of its kind.
+
+A job's key names data that its worker fetches from a shared store and then keeps for a while, as in a cache.
 """
 
 from __future__ import annotations
@@ -12,120 +14,125 @@
 if TYPE_CHECKING:
     from .workers import Worker
 
-PROFILE_FADE_MS = 12_000.0  # ms; a sample's weight falls to 1/e: outlives a burst, not a recovery
-SHRINK = 5.0  # samples; run times are heavy-tailed, so fewer own samples than this say little
-MEAN_STEP = 0.02  # share; a type's typical time moves by this much of a sample, once it has many
-SOLVE_MS = 700.0  # ms; shares are re-solved at most this often, jittered, so gateways don't swing in step
-MET_MS = 40_000.0  # ms; a worker that ran a key so lately still holds what its jobs need
-FETCH = 0.8  # of the log of a response time; what fetching it adds, before any was measured
-FETCH_STEP = 0.03  # share; how fast the view of that moves with each served job
+SAMPLE_DECAY_MS = 12_000.0  # a sample's weight falls to 1/e: it outlives a burst, not a recovery
+PRIOR_SAMPLES = 5.0  # weight of the kind's mean: run times are heavy-tailed, so fewer samples say little
+MIN_MEAN_STEP = 0.02  # weight of a new sample in a mean that has many
+UPDATE_INTERVAL_MS = 700.0  # shares are updated no more often; jittered, so schedulers don't swing in step
+KEY_TTL_MS = 40_000.0  # a worker that got a job of a key this recently still holds the key's data
+FIRST_FETCH_LOG = 0.8  # what a fetch adds to the log of a response time, before any was measured
+FETCH_STEP = 0.03  # weight of a served job in the means behind that value
 
 
 class JobType:
-    """What this gateway knows of one type of job: counts in flight, response times, shares."""
+    """What this scheduler knows of one type of job: counts in flight, response times, shares.
+
+    The rate of a worker is the inverse of its mean response time, relative to the mean of the type.
+    """
 
-    __slots__ = ("n", "counts", "samples", "served", "mean_log", "rates", "kind_rates", "total", "top",
-                 "solve_at", "stale", "met_mean", "unmet_mean")
+    __slots__ = ("in_flight", "in_flight_at", "samples", "served", "mean_log", "rates", "kind_rates",
+                 "total_rate", "max_rate", "next_update_at", "stale", "cached_mean_log", "fetch_mean_log")
 
-    def __init__(self, kinds: int, first_mean: float) -> None:
-        self.n = 0
-        self.counts: dict[int, int] = {}
-        self.samples: dict[int, list[float]] = {}  # worker: weight, weighted sum, when, kind
+    def __init__(self, kinds: int, first_mean_log: float) -> None:
+        self.in_flight = 0
+        self.in_flight_at: dict[int, int] = {}  # by worker
+        self.samples: dict[int, list[float]] = {}  # by worker: weight, weighted sum, time, kind
         self.served = 0
-        self.mean_log = first_mean  # of log(ms), or of log(ms per hinted ms)
-        self.rates: dict[int, float] = {}  # 1 / R of the workers with samples
-        self.kind_rates = [1.0] * kinds  # 1 / R of the others
-        self.total = 1.0  # sum of 1 / R over all ready workers
-        self.top = 1.0
-        self.solve_at = 0.0
+        self.mean_log = first_mean_log  # of log(ms), or of log(ms per hinted ms)
+        self.rates: dict[int, float] = {}  # of the workers with samples
+        self.kind_rates = [1.0] * kinds  # by kind: of the workers without
+        self.total_rate = 1.0  # over all ready workers
+        self.max_rate = 1.0
+        self.next_update_at = 0.0
         self.stale = True
-        self.met_mean = 0.0  # of log(ms) over the mean, where the worker had met the key
-        self.unmet_mean = FETCH
+        self.cached_mean_log = 0.0  # of log(ms) less the mean, where the worker held the key
+        self.fetch_mean_log = FIRST_FETCH_LOG  # the same where it had to fetch the key's data
 
     @property
-    def fetch(self) -> float:
-        """How much longer, as a logarithm, a job takes where its key has not been met."""
-        return min(2.0, max(0.3, self.unmet_mean - self.met_mean))
+    def fetch_log(self) -> float:
+        """How much longer, as a logarithm, a job takes whose worker does not hold its key."""
+        return min(2.0, max(0.3, self.fetch_mean_log - self.cached_mean_log))
 
-    def add(self, now: float, worker: Worker, ms: float, met: bool | None = None) -> None:
-        """Take in a served job's response time (per hinted ms, where there is a hint).
+    def record(self, now: float, worker: Worker, ms: float, cached: bool | None = None) -> None:
+        """Record a served job's response time (per hinted ms, where there is a hint).
 
-        ``met``: whether the worker had run the job's key lately; None: it has no key.
+        ``cached``: whether the worker held the job's key; None: it has no key.
         """
-        x = log(ms)
-        if met is not None:
-            if met:
-                self.met_mean += (x - self.mean_log - self.met_mean) * FETCH_STEP
+        log_ms = log(ms)
+        if cached is not None:
+            if cached:
+                self.cached_mean_log += (log_ms - self.mean_log - self.cached_mean_log) * FETCH_STEP
             else:
-                self.unmet_mean += (x - self.mean_log - self.unmet_mean) * FETCH_STEP
-                x -= self.fetch  # the profile is that of jobs that need fetch nothing
+                self.fetch_mean_log += (log_ms - self.mean_log - self.fetch_mean_log) * FETCH_STEP
+                log_ms -= self.fetch_log  # the profile is that of jobs without a fetch
         self.served += 1
-        self.mean_log += (x - self.mean_log) * max(MEAN_STEP, 1.0 / (self.served + 1))
-        entry = self.samples.setdefault(worker.id, [0.0, 0.0, now, worker.kind])
-        fade = exp((entry[2] - now) / PROFILE_FADE_MS)
-        entry[:3] = [entry[0] * fade + 1.0, entry[1] * fade + x - self.mean_log, now]
+        self.mean_log += (log_ms - self.mean_log) * max(MIN_MEAN_STEP, 1.0 / (self.served + 1))
+        sample = self.samples.setdefault(worker.id, [0.0, 0.0, now, worker.kind])
+        decay = exp((sample[2] - now) / SAMPLE_DECAY_MS)
+        sample[:3] = [sample[0] * decay + 1.0, sample[1] * decay + log_ms - self.mean_log, now]
         self.stale = True
 
-    def solve(self, now: float, ready: dict[int, Worker], kind_counts: list[int], jitter: float) -> None:
-        """Re-solve the shares.  Times are means of logarithms: a Pareto tail drowns a plain mean."""
+    def update_rates(self, now: float, ready: dict[int, Worker], kind_counts: list[int],
+                     jitter: float) -> None:
+        """Recompute the rates from means of logarithms: a Pareto tail would dominate a plain mean."""
         self.stale = False
-        self.solve_at = now + SOLVE_MS * (0.7 + 0.6 * jitter)
+        self.next_update_at = now + UPDATE_INTERVAL_MS * (0.7 + 0.6 * jitter)
         kinds = len(kind_counts)
-        weight = [0.0] * kinds
-        sums = [0.0] * kinds
+        kind_weights = [0.0] * kinds
+        kind_sums = [0.0] * kinds
         kept: list[tuple[int, float, float, int]] = []
-        for wid, (w, s, at, kind) in list(self.samples.items()):
-            fade = exp((at - now) / PROFILE_FADE_MS)
+        for worker_id, (sample_weight, weighted_sum, at, kind) in list(self.samples.items()):
+            decay = exp((at - now) / SAMPLE_DECAY_MS)
             k = int(kind)
-            if wid not in ready or w * fade < 0.05:
-                del self.samples[wid]
+            if worker_id not in ready or sample_weight * decay < 0.05:
+                del self.samples[worker_id]
                 continue
-            weight[k] += w * fade
-            sums[k] += s * fade
-            kept.append((wid, w * fade, s * fade, k))
-        logs = [sums[k] / (weight[k] + SHRINK) for k in range(kinds)]
-        self.kind_rates = [exp(-x) for x in logs]
-        total = sum(c * r for c, r in zip(kind_counts, self.kind_rates, strict=True))
+            kind_weights[k] += sample_weight * decay
+            kind_sums[k] += weighted_sum * decay
+            kept.append((worker_id, sample_weight * decay, weighted_sum * decay, k))
+        kind_logs = [kind_sums[k] / (kind_weights[k] + PRIOR_SAMPLES) for k in range(kinds)]
+        self.kind_rates = [exp(-x) for x in kind_logs]
+        total_rate = sum(c * r for c, r in zip(kind_counts, self.kind_rates, strict=True))
         self.rates = rates = {}
-        for wid, w, s, k in kept:
-            rate = exp(-(s + SHRINK * logs[k]) / (w + SHRINK))
-            rates[wid] = rate
-            total += rate - self.kind_rates[k]
-        self.total = total or 1.0
-        self.top = max(*rates.values(), *self.kind_rates, 0.0)
+        for worker_id, sample_weight, weighted_sum, k in kept:
+            rate = exp(-(weighted_sum + PRIOR_SAMPLES * kind_logs[k]) / (sample_weight + PRIOR_SAMPLES))
+            rates[worker_id] = rate
+            total_rate += rate - self.kind_rates[k]
+        self.total_rate = total_rate or 1.0
+        self.max_rate = max(*rates.values(), *self.kind_rates, 0.0)
 
-    def forget(self, worker: int) -> None:
-        """A restarted or removed worker is not judged by its past."""
-        self.stale = self.samples.pop(worker, None) is not None or self.stale
+    def forget(self, worker_id: int) -> None:
+        """Drop the samples of a worker that restarted or was removed."""
+        self.stale = self.samples.pop(worker_id, None) is not None or self.stale
 
 
 class KeyType:
-    """A type that is a key: its counts, and which workers ran it lately.
+    """The jobs of one key: their counts, and which workers hold the key.
 
-    It borrows its class's profiles: of a worker that has met it as measured, of the others with a fetch.
+    Response times are those of the key's class, with a fetch added at workers that do not hold the key.
     """
 
-    __slots__ = ("base", "n", "counts", "met", "draw", "key")
+    __slots__ = ("class_type", "in_flight", "in_flight_at", "last_sent_at", "draws", "key")
 
-    def __init__(self, key: int, base: JobType) -> None:
+    def __init__(self, key: int, class_type: JobType) -> None:
         self.key = key
-        self.base = base
-        self.n = 0
-        self.counts: dict[int, int] = {}
-        self.met: dict[int, float] = {}  # worker: when it last got a job of this key
-        self.draw: dict[int, float] = {}  # worker: its exponential draw, the same at every gateway
-
-    def has_met(self, worker: int, now: float) -> bool:
-        """Whether a worker still holds what jobs of this key need."""
-        at = self.met.get(worker)
-        return at is not None and now - at < MET_MS
-
-    def order(self, w: Worker, rate: float) -> float:
-        """The place of a worker in a draw in proportion to the shares, alike at every gateway."""
-        e = self.draw.get(w.id)
-        if e is None:
-            x = (self.key ^ (w.id * 0x9E3779B97F4A7C15)) & 0xFFFFFFFFFFFFFFFF
-            x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
-            x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & 0xFFFFFFFFFFFFFFFF
-            e = self.draw[w.id] = -log(((x ^ (x >> 31)) + 1.0) / 18446744073709551617.0)
-        return e / rate
+        self.class_type = class_type
+        self.in_flight = 0
+        self.in_flight_at: dict[int, int] = {}
+        self.last_sent_at: dict[int, float] = {}  # by worker, of a job of this key
+        self.draws: dict[int, float] = {}  # by worker: exponential draw, alike at every scheduler
+
+    def holds_key(self, worker_id: int, now: float) -> bool:
+        """Whether a worker still holds the data that jobs of this key need."""
+        sent_at = self.last_sent_at.get(worker_id)
+        return sent_at is not None and now - sent_at < KEY_TTL_MS
+
+    def hash_order(self, worker: Worker, rate: float) -> float:
+        """The sort key of a worker in weighted rendezvous hashing; draws are alike at every scheduler."""
+        exponential = self.draws.get(worker.id)
+        if exponential is None:
+            mixed = (self.key ^ (worker.id * 0x9E3779B97F4A7C15)) & 0xFFFFFFFFFFFFFFFF
+            mixed = ((mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
+            mixed = ((mixed ^ (mixed >> 27)) * 0x94D049BB133111EB) & 0xFFFFFFFFFFFFFFFF
+            exponential = self.draws[worker.id] = -log(
+                ((mixed ^ (mixed >> 31)) + 1.0) / 18446744073709551617.0)
+        return exponential / rate
--- a/gaphub/quota.py
+++ b/gaphub/quota.py
@@ -1,7 +1,8 @@
-"""What is left of each tenant's quota, as far as one scheduler can tell.
+"""The tenants' quotas, as far as one scheduler can enforce them.
 
-Pure: no I/O, no clock; part of the decisions, whose interface stands in ``interface.py``.  No scheduler
-sees all requests: each lets pass the part of a quota that it has of all traffic, by what workers report.
+Pure: no I/O, no clock; part of the decisions, whose interface is defined in ``interface.py``.  No scheduler
+sees all requests.  Each admits a part of a quota equal to its part of all traffic, estimated from the load
+reports of workers.
 """
 
 from __future__ import annotations
@@ -10,36 +11,36 @@
 
 from .interface import TenantSettings
 
-BURST_S = 1.0  # s; what a tenant may save up of its quota
-BURST_LEAST = 4.0  # requests; the least it may save up: a scheduler's part may be a request in seconds
-SEEN_FADE = 0.995  # a report; how fast the view of this scheduler's part of all traffic fades
+BURST_S = 1.0  # seconds of its quota that a tenant may save up
+MIN_BURST = 4.0  # requests that it may always save up: a scheduler's part may be one in several seconds
+REPORT_DECAY = 0.995  # per report, of the estimate of this scheduler's part of all traffic
 
 
 class TenantQuotas:
     """A token bucket for each tenant."""
 
-    __slots__ = ("_have", "_filled_at", "_own_seen", "_all_seen")
+    __slots__ = ("_tokens", "_filled_at", "_own_reported", "_all_reported")
 
     def __init__(self, now: float, tenants: int) -> None:
-        self._have = [BURST_LEAST] * tenants
+        self._tokens = [MIN_BURST] * tenants
         self._filled_at = [now] * tenants
-        self._own_seen = 0.0
-        self._all_seen = 0.0
+        self._own_reported = 0.0
+        self._all_reported = 0.0
 
     def admits(self, now: float, tenant: int, tenants: Sequence[TenantSettings], schedulers: int) -> bool:
-        """Whether a request is within this scheduler's part of its tenant's quota; it counts from then on."""
-        if tenant >= len(self._have):
+        """Take a token; whether the request is within this scheduler's part of its tenant's quota."""
+        if tenant >= len(self._tokens):
             return True
-        part = (self._own_seen + 1.0) / (self._all_seen + schedulers)
-        rate = tenants[tenant].quota_per_s * part
-        have = self._have[tenant] + rate * (now - self._filled_at[tenant]) / 1000.0
-        have = min(have, BURST_LEAST + rate * BURST_S)
+        share = (self._own_reported + 1.0) / (self._all_reported + schedulers)
+        rate = tenants[tenant].quota_per_s * share
+        tokens = self._tokens[tenant] + rate * (now - self._filled_at[tenant]) / 1000.0
+        tokens = min(tokens, MIN_BURST + rate * BURST_S)
         self._filled_at[tenant] = now
-        within = have >= 1.0
-        self._have[tenant] = have - 1.0 if within else have
+        within = tokens >= 1.0
+        self._tokens[tenant] = tokens - 1.0 if within else tokens
         return within
 
-    def saw_report(self, own: float, reported: float) -> None:
-        """A worker reports so many requests under way, of which so many slots are this scheduler's."""
-        self._own_seen = self._own_seen * SEEN_FADE + min(own, reported)
-        self._all_seen = self._all_seen * SEEN_FADE + reported
+    def record_report(self, own: float, reported: float) -> None:
+        """Record a worker's number of requests in flight, and this scheduler's own slots out there."""
+        self._own_reported = self._own_reported * REPORT_DECAY + min(own, reported)
+        self._all_reported = self._all_reported * REPORT_DECAY + reported
--- a/gaphub/recovery/__init__.py
+++ b/gaphub/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back after a mass restart or lost state: pure rules of trust, pacing and slow start; no I/O."""
+"""Recovery after a mass restart or lost state: pure rules of trust, pacing and slow start; no I/O."""
--- a/gaphub/recovery/pacing.py
+++ b/gaphub/recovery/pacing.py
@@ -1,14 +1,14 @@
-"""Owns how a scheduler that starts joins the fleet: when its first probes, handshakes and list fetches go out.
+"""Pacing of a starting scheduler: when its first probes, handshakes and list fetches are sent.
 
-Pure: no I/O, no clock, no randomness.  Jitter is drawn from the scheduler's name and a seed through a hash, so
-that the same fleet starts the same way every time and two schedulers seldom start alike.  It never says where
-a request goes, and never makes a scheduler wait for what it already has.
+Pure: no I/O, no clock, no randomness.  Jitter is a hash of the scheduler's name and a seed, so that the same
+fleet starts the same way every time and two schedulers seldom start alike.  This module neither decides where a
+request goes nor makes a scheduler wait for what it already has.
 
-The bound is stated for the whole fleet: ``fleet_per_s`` of a kind of action per second, over ``fleet``
-schedulers.  Each scheduler gets ``fleet_per_s / fleet`` a second and a burst of ``burst`` (at least 1), so that
-in any window of ``t`` seconds the fleet sends at most ``fleet_per_s * t + fleet * burst``, whenever each one
-starts (token bucket, as in RFC 2697's committed rate and burst).  The first of a scheduler's actions waits a
-jitter of up to one interval, so that 140 schedulers restarted at once spread their first actions over it.
+The bound is stated for the whole fleet: ``fleet_per_s`` actions of a kind per second, over ``fleet`` schedulers.
+Each scheduler gets ``fleet_per_s / fleet`` per second and a burst of ``burst`` (at least 1), so that in any window
+of ``t`` seconds the fleet sends at most ``fleet_per_s * t + fleet * burst``, whenever each one starts (token
+bucket, as in RFC 2697's committed rate and burst).  A scheduler's first action waits a jitter of up to one
+interval, so that 140 schedulers restarted at once spread their first actions over it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def jitter(name: bytes, seed: int, span_ms: float) -> float:
-    """A wait from 0 up to (not including) ``span_ms``, the same for the same name and seed, spread evenly."""
+    """A delay in [0, ``span_ms``), the same for the same name and seed, uniform over names."""
     digest = hashlib.blake2b(name, digest_size=8, key=seed.to_bytes(8, "big", signed=True)).digest()
     return span_ms * int.from_bytes(digest, "big") / 2.0**64
 
@@ -32,7 +32,7 @@
     burst: float = 1.0
 
     def __post_init__(self) -> None:
-        """Refuse a budget that bounds nothing."""
+        """Reject a budget that bounds nothing."""
         if not self.fleet_per_s > 0:
             raise ValueError("fleet_per_s: must be above 0")
         if self.fleet < 1:
@@ -42,19 +42,19 @@
 
     @property
     def interval_ms(self) -> float:
-        """The mean time in ms between two actions of one member at its share."""
+        """The mean time between two actions of one member that uses its whole share."""
         return 1000.0 * self.fleet / self.fleet_per_s
 
-    def most(self, window_ms: float) -> float:
-        """The most actions that the whole fleet may send in a window of that many ms."""
+    def max_actions(self, window_ms: float) -> float:
+        """The most actions that the whole fleet may send within a window."""
         return self.fleet_per_s * window_ms / 1000.0 + self.fleet * self.burst
 
 
 class Pacer:
-    """One member's share of a budget, as a bucket of tokens that fills at ``fleet_per_s / fleet`` a second.
+    """One member's share of a budget: a token bucket that fills at ``fleet_per_s / fleet`` per second.
 
-    Nothing goes before ``start_ms`` plus the member's jitter; then one token is there, and the bucket fills from
-    that moment, never above ``burst``.  ``take`` spends one where there is one; ``next_ms`` says when one will be.
+    No action is allowed before ``start_ms`` plus the member's jitter.  At that time the bucket holds one token,
+    and it fills from then on, up to ``burst``.
     """
 
     def __init__(self, budget: Budget, start_ms: float, name: bytes, seed: int) -> None:
@@ -70,7 +70,7 @@
             self._at = now_ms
 
     def take(self, now_ms: float) -> bool:
-        """Spend a token if one is there now."""
+        """Spend a token, if there is one; whether there was."""
         if now_ms < self.first_ms:
             return False
         self._fill(now_ms)
@@ -80,7 +80,7 @@
         return False
 
     def next_ms(self, now_ms: float) -> float:
-        """The earliest moment at or after ``now_ms`` at which ``take`` would give a token."""
+        """The earliest time from ``now_ms`` on at which ``take`` would succeed."""
         if now_ms < self.first_ms:
             return self.first_ms
         self._fill(now_ms)
--- a/gaphub/workers.py
+++ b/gaphub/workers.py
@@ -1,6 +1,6 @@
-"""Workers as one gateway sees them: state, reports, health, and the set of those that the list has named.
+"""Workers as one scheduler sees them: state, reports, health, and the set of listed workers.
 
-Pure: no I/O, no clock, no randomness; part of the decisions, whose interface stands in ``interface.py``.
+Pure: no I/O, no clock, no randomness; part of the decisions, whose interface is defined in ``interface.py``.
 """
 
 from __future__ import annotations
@@ -10,105 +10,111 @@
 from .cold_start import ColdAllowance
 from .interface import ListedWorker, ListKind, WorkerState
 
-IDLE_STEP = 0.1  # share; how fast the view of a kind's slots moves with each report of an idle worker
+IDLE_SLOTS_STEP = 0.1  # weight of each report of an idle worker in the mean slots of its kind
 
 
 class Worker:
-    """One worker as this gateway sees it."""
+    """One worker as this scheduler sees it."""
 
     __slots__ = ("id", "identity", "kind", "zone", "cell", "class_mask", "state", "ready_at", "slots_out",
-                 "report", "report_at", "report_new_at", "out_then", "memory_out", "memory_then", "capacity",
-                 "full_until", "full_slots", "full_times", "busy_until", "heard_at", "strikes",
+                 "report", "report_at", "report_changed_at", "slots_out_at_report", "memory_out",
+                 "memory_out_at_report", "capacity",
+                 "full_until", "full_size", "full_count", "busy_until", "last_heard_at", "ejections",
                  "ejected_until",
-                 "trial", "cold_allowance", "resets", "begun", "errors", "erred")
+                 "half_open", "cold_allowance", "resets", "last_started_sent_at", "error_rate",
+                 "last_error_at")
 
     def __init__(self, entry: ListedWorker, cold_phase: float = 0.0) -> None:
-        """``cold_phase``: this gateway's at a cold worker, see ``cold_start.phase_of``."""
+        """``cold_phase``: this scheduler's phase at the worker, see ``cold_start.phase_of``."""
         self.id, self.kind, self.class_mask = entry.worker, entry.kind, entry.class_mask
         self.identity = entry.identity or entry.worker
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
-        self.slots_out = self.memory_out = 0.0  # slots and memory of this gateway's attempts out there
-        self.capacity = 0.0
+        self.slots_out = self.memory_out = 0.0  # slots and memory held by this scheduler's attempts
+        self.capacity = 0.0  # most slots seen free on any worker of its kind
         self.restart(entry.ready_at_ms, cold_phase)
 
     def restart(self, ready_at: float, cold_phase: float) -> None:
-        """A new process: nothing known of the old one holds."""
-        self.ready_at = ready_at
+        """Forget all that was known of the worker's previous process."""
+        self.ready_at = ready_at  # its start: above 0 while cold, negated once warm; 0: long ago
         self.report: tuple[float, ...] = ()
-        self.report_at = self.report_new_at = -1e18
-        self.out_then = self.memory_then = 0.0
-        self.full_until = self.busy_until = self.heard_at = -1e18
-        self.begun = -1e18  # when the last of the attempts that have started was sent
-        self.full_slots = 0.0
-        self.full_times = self.strikes = self.resets = 0
+        self.report_at = self.report_changed_at = -1e18
+        self.slots_out_at_report = self.memory_out_at_report = 0.0
+        self.full_until = self.busy_until = self.last_heard_at = -1e18
+        self.last_started_sent_at = -1e18  # the latest send time of the attempts that have started
+        self.full_size = 0.0  # the smallest job, in slots, that it answered with 'full'
+        self.full_count = self.ejections = self.resets = 0
         self.ejected_until = -1e18
-        self.errors = 0.0  # the share of its answers that are errors, the last ones above all
-        self.erred: dict[int, float] = {}  # class, -1 for any: its last error; some fail one class alone
-        self.trial = False
+        self.error_rate = 0.0  # exponentially weighted share of its answers that are errors
+        self.last_error_at: dict[int, float] = {}  # by class, -1 for any: some workers fail one class alone
+        self.half_open = False  # ejected before and not proven healthy yet: one job at a time
         self.cold_allowance = ColdAllowance(cold_phase)
 
 
 class Reports:
-    """Which values a load report holds, and what they say of a worker."""
+    """Which values a load report has (an index of -1: it has none), and what they say of a worker."""
 
-    __slots__ = ("slots", "memory", "inflight", "queue", "latency", "useful", "ttl_ms",
-                 "in_order", "max_free_slots", "idle_free_slots")
+    __slots__ = ("slots_index", "memory_index", "inflight_index", "queue_index", "latency_index",
+                 "has_free_slots", "ttl_ms", "in_order", "max_free_slots", "idle_free_slots")
 
     def __init__(self, fields: Sequence[str], ttl_ms: float, in_order: bool) -> None:
-        def place(name: str) -> int:
+        def position(name: str) -> int:
             return fields.index(name) if name in fields else -1
 
-        self.slots = place("free_slots")
-        self.memory = place("free_memory")
-        self.inflight = place("inflight")
-        self.queue = place("queue")
-        self.latency = place("latency_ms")
-        self.useful = self.slots >= 0
+        self.slots_index = position("free_slots")
+        self.memory_index = position("free_memory")
+        self.inflight_index = position("inflight")
+        self.queue_index = position("queue")
+        self.latency_index = position("latency_ms")
+        self.has_free_slots = self.slots_index >= 0
         self.ttl_ms = ttl_ms
-        self.in_order = in_order
-        self.max_free_slots: dict[int, float] = {}  # slots, by kind of worker
-        self.idle_free_slots: dict[int, float] = {}  # the mean of reports of idle workers, by kind
-
-    def take(self, now: float, w: Worker, report: tuple[float, ...]) -> None:
-        """Note a report.  One that repeats the last values was not refreshed in between."""
-        if report != w.report:
-            w.report = report
-            w.report_new_at = now
-            w.out_then = w.slots_out
-            w.memory_then = w.memory_out
-            if self.slots >= 0:
-                # The most slots seen free on any worker of the kind, not free ones plus jobs held: behind a
-                # head that does not fit many wait beside free slots.  One alone may never be seen empty.
-                free = report[self.slots]
-                self.max_free_slots[w.kind] = w.capacity = max(self.max_free_slots.get(w.kind, 0.0), free)
-                if self.inflight >= 0 and report[self.inflight] < 0.5:
-                    mean = self.idle_free_slots.get(w.kind, free)
-                    self.idle_free_slots[w.kind] = mean + (free - mean) * IDLE_STEP  # reports are noisy
-        w.report_at = now
-
-    def free(self, now: float, w: Worker, slots: float, memory: float) -> bool | None:
-        """Whether the job's slots are free; None if no fresh report tells."""
-        if not self.useful or now - w.report_at > self.ttl_ms:
+        self.in_order = in_order  # whether workers serve their queues strictly in order
+        self.max_free_slots: dict[int, float] = {}  # by kind of worker
+        self.idle_free_slots: dict[int, float] = {}  # by kind: mean over reports of idle workers
+
+    def record(self, now: float, worker: Worker, report: tuple[float, ...]) -> None:
+        """Record a report.  One that repeats the last values was not refreshed in between."""
+        if report != worker.report:
+            worker.report = report
+            worker.report_changed_at = now
+            worker.slots_out_at_report = worker.slots_out
+            worker.memory_out_at_report = worker.memory_out
+            if self.slots_index >= 0:
+                # Capacity is the most slots seen free on any worker of the kind.  Free slots plus jobs held
+                # would be too many: behind a queue head that does not fit, jobs wait beside free slots.  A
+                # single worker may never be seen empty.
+                free = report[self.slots_index]
+                self.max_free_slots[worker.kind] = worker.capacity = max(
+                    self.max_free_slots.get(worker.kind, 0.0), free)
+                if self.inflight_index >= 0 and report[self.inflight_index] < 0.5:
+                    mean = self.idle_free_slots.get(worker.kind, free)
+                    # A mean, as reports are noisy.
+                    self.idle_free_slots[worker.kind] = mean + (free - mean) * IDLE_SLOTS_STEP
+        worker.report_at = now
+
+    def has_room(self, now: float, worker: Worker, slots: float, memory: float) -> bool | None:
+        """Whether the slots and memory of a job are free; None without a fresh report."""
+        if not self.has_free_slots or now - worker.report_at > self.ttl_ms:
             return None
-        r = w.report
-        if r[self.slots] - (w.slots_out - w.out_then) < slots or (
-                self.in_order and self.queue >= 0 and r[self.queue] > 0.5):
+        values = worker.report
+        if values[self.slots_index] - (worker.slots_out - worker.slots_out_at_report) < slots or (
+                self.in_order and self.queue_index >= 0 and values[self.queue_index] > 0.5):
             return False  # a slot beside a queue that is served in order is not free for this job
-        return self.memory < 0 or r[self.memory] - (w.memory_out - w.memory_then) >= memory
+        return self.memory_index < 0 or (
+            values[self.memory_index] - (worker.memory_out - worker.memory_out_at_report) >= memory)
 
-    def wait_ms(self, now: float, w: Worker, typical: float) -> float:
-        """How long a job sent now would wait there, where reports name the queue (not free slots)."""
-        if self.queue < 0 or now - w.report_at > self.ttl_ms or not w.report:
+    def wait_ms(self, now: float, worker: Worker, typical_ms: float) -> float:
+        """How long a job sent now would wait there, where reports have the queue length; else 0."""
+        if self.queue_index < 0 or now - worker.report_at > self.ttl_ms or not worker.report:
             return 0.0
-        waiting = w.report[self.queue] + max(0.0, w.slots_out - w.out_then)
-        if waiting <= 0:
+        jobs_ahead = worker.report[self.queue_index] + max(0.0, worker.slots_out - worker.slots_out_at_report)
+        if jobs_ahead <= 0:
             return 0.0
-        service = w.report[self.latency] if self.latency >= 0 else typical
-        return (waiting + 1.0) * service / max(1.0, w.capacity)
+        service_ms = worker.report[self.latency_index] if self.latency_index >= 0 else typical_ms
+        return (jobs_ahead + 1.0) * service_ms / max(1.0, worker.capacity)
 
 
 class Fleet:
-    """The workers that the list has named, and those of them that may get new work."""
+    """The listed workers, and those of them that may get new work."""
 
     __slots__ = ("workers", "ready", "pools", "kinds", "kind_counts")
 
@@ -121,50 +127,51 @@
 
     def apply(self, kind: int, entries: Sequence[ListedWorker],
               cold_phase: Callable[[int], float]) -> list[int]:
-        """Follow the list; the ids of workers that restarted or are gone.
+        """Apply a list event; returns the ids of workers that restarted or are gone.
 
-        ``cold_phase``: of this gateway at a worker, by the worker's identity.
+        ``cold_phase`` gives this scheduler's phase at a worker by the worker's identity.
         """
         changed = []
         if kind != ListKind.CHANGES:
-            named = {e.worker for e in entries}
-            for wid in [i for i in self.workers if i not in named]:
-                self._drop(wid)
-                changed.append(wid)
-        for e in entries:
-            w = self.workers.get(e.worker)
-            if e.state == WorkerState.GONE:
-                if w is not None:
-                    self._drop(e.worker)
-                    changed.append(e.worker)
+            named = {entry.worker for entry in entries}
+            for worker_id in [i for i in self.workers if i not in named]:
+                self._drop(worker_id)
+                changed.append(worker_id)
+        for entry in entries:
+            worker = self.workers.get(entry.worker)
+            if entry.state == WorkerState.GONE:
+                if worker is not None:
+                    self._drop(entry.worker)
+                    changed.append(entry.worker)
                 continue
-            if w is None:
-                w = self.workers[e.worker] = Worker(e, cold_phase(e.identity or e.worker))
-            elif e.ready_at_ms != abs(w.ready_at):
-                w.restart(e.ready_at_ms, cold_phase(w.identity))
-                changed.append(w.id)
-            w.state = e.state
-            w.class_mask = e.class_mask
-            if e.state == WorkerState.READY:
-                self.ready[w.id] = w
+            if worker is None:
+                worker = self.workers[entry.worker] = Worker(
+                    entry, cold_phase(entry.identity or entry.worker))
+            elif entry.ready_at_ms != abs(worker.ready_at):
+                worker.restart(entry.ready_at_ms, cold_phase(worker.identity))
+                changed.append(worker.id)
+            worker.state = entry.state
+            worker.class_mask = entry.class_mask
+            if entry.state == WorkerState.READY:
+                self.ready[worker.id] = worker
             else:
-                self.ready.pop(w.id, None)  # draining: nothing new from this moment on
+                self.ready.pop(worker.id, None)  # draining: no new jobs from now on
         self.pools.clear()
         self.kind_counts = [0] * self.kinds
-        for w in self.ready.values():
-            self.kind_counts[w.kind] += 1
+        for worker in self.ready.values():
+            self.kind_counts[worker.kind] += 1
         return changed
 
-    def _drop(self, wid: int) -> None:
-        self.workers.pop(wid).state = WorkerState.GONE
-        self.ready.pop(wid, None)
-
-    def pool(self, zones: tuple[int, ...], kind: int, cls: int) -> list[Worker]:
-        """The ready workers of some zones (none named: any) and a kind (-1: any) that can run a class."""
-        key = (zones, kind, cls)
-        found = self.pools.get(key)
-        if found is None:
-            found = self.pools[key] = [w for w in self.ready.values()
-                                       if (not zones or w.zone in zones) and kind in (-1, w.kind)
-                                       and w.class_mask >> cls & 1]
-        return found
+    def _drop(self, worker_id: int) -> None:
+        self.workers.pop(worker_id).state = WorkerState.GONE
+        self.ready.pop(worker_id, None)
+
+    def pool(self, zones: tuple[int, ...], kind: int, class_index: int) -> list[Worker]:
+        """The ready workers in ``zones`` (empty: any) and of ``kind`` (-1: any) that can run a class."""
+        key = (zones, kind, class_index)
+        pool = self.pools.get(key)
+        if pool is None:
+            pool = self.pools[key] = [worker for worker in self.ready.values()
+                                       if (not zones or worker.zone in zones) and kind in (-1, worker.kind)
+                                       and worker.class_mask >> class_index & 1]
+        return pool
--- a/gaphub/zone_reach.py
+++ b/gaphub/zone_reach.py
@@ -1,39 +1,39 @@
-"""Which zones can be reached, by how often attempts there get no connection.
+"""Which zones can be reached, judged by how often attempts there fail to connect.
 
-Pure: no I/O, no clock; part of the decisions, whose interface stands in ``interface.py``.
+Pure: no I/O, no clock; part of the decisions, whose interface is defined in ``interface.py``.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-STEP = 0.25  # share; how fast the view of a zone's connections moves with each attempt
-CUT_OFF = 0.5  # share of attempts without a connection above which a zone is left alone
-TRIAL = 0.03  # share of jobs that look at such a zone all the same
+FAILURE_STEP = 0.25  # weight of an attempt in the failure share of its zone
+CUT_OFF_FROM = 0.5  # a zone with a higher failure share is avoided
+TRIAL_SHARE = 0.03  # share of jobs that consider an avoided zone all the same, to detect its return
 
 
 class ZoneReach:
-    """The share of attempts to each zone that get no connection."""
+    """The exponentially weighted share of attempts to each zone that fail to connect."""
 
-    __slots__ = ("failing",)
+    __slots__ = ("failure_shares",)
 
     def __init__(self, zones: int) -> None:
-        self.failing = [0.0] * zones
+        self.failure_shares = [0.0] * zones
 
-    def saw(self, zone: int, failed: bool) -> None:
-        """An attempt got no connection, or got one."""
-        self.failing[zone] += (failed - self.failing[zone]) * STEP
+    def record(self, zone: int, failed: bool) -> None:
+        """Record whether an attempt failed to connect."""
+        self.failure_shares[zone] += (failed - self.failure_shares[zone]) * FAILURE_STEP
 
-    def comes_back(self, zone: int) -> None:
-        """A worker there has just started: the zone is used at once, not by rare trials."""
-        self.failing[zone] = 0.0
+    def worker_started(self, zone: int) -> None:
+        """A worker there has just started: use the zone at once instead of by rare trials."""
+        self.failure_shares[zone] = 0.0
 
     def is_cut_off(self, zone: int) -> bool:
-        """Whether a zone is left alone."""
-        return self.failing[zone] > CUT_OFF
+        """Whether a zone is avoided."""
+        return self.failure_shares[zone] > CUT_OFF_FROM
 
-    def zones(self, draw: Callable[[], float]) -> tuple[int, ...]:
-        """The zones to look at; () for all.  A few jobs try one that is cut off, to see its return."""
-        if max(self.failing) <= CUT_OFF or draw() < TRIAL:
+    def candidate_zones(self, draw: Callable[[], float]) -> tuple[int, ...]:
+        """The zones to consider for a job; () for all."""
+        if max(self.failure_shares) <= CUT_OFF_FROM or draw() < TRIAL_SHARE:
             return ()
-        return tuple(zone for zone, share in enumerate(self.failing) if share <= CUT_OFF)
+        return tuple(zone for zone, share in enumerate(self.failure_shares) if share <= CUT_OFF_FROM)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -18,13 +18,13 @@
     def __init__(self) -> None:
         self.sends: list[tuple[int, int]] = []
         self.refused: list[int] = []
-        self.returns: list[float] = []
+        self.retry_afters: list[float] = []
         self.failed: list[int] = []
         self.cancelled: list[tuple[int, int]] = []
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
         self.peer_messages: list[tuple[int, bytes]] = []
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.watches = 0
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
@@ -32,7 +32,7 @@
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         self.refused.append(request)
-        self.returns.append(retry_after_ms)
+        self.retry_afters.append(retry_after_ms)
 
     def fail(self, request: int) -> None:
         self.failed.append(request)
@@ -54,7 +54,7 @@
         self.peer_messages.append((peer, data))
 
     def log(self, text: str) -> None:
-        self.lines.append(text)
+        self.log_lines.append(text)
 
     def watch(self, on: bool) -> None:
         self.watches += 1
@@ -121,5 +121,5 @@
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            if self.balancer.armed_at and self.balancer.armed_at <= self.now:
+            if self.balancer.timer_due_at and self.balancer.timer_due_at <= self.now:
                 self.balancer.on_timer(self.now, 1)
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -9,8 +9,8 @@
 import pytest
 
 from gaphub.interface import ClassSettings, ListKind, Status
-from gaphub.logic import KEYS_MAX, LOOKS
-from gaphub.profiles import MET_MS, JobType
+from gaphub.logic import MAX_KEYS, PROBES_PER_ROUND
+from gaphub.profiles import KEY_TTL_MS, JobType
 from gaphub.workers import Worker
 from tests.fake import SAFE, World, entry
 
@@ -58,7 +58,7 @@
         t = world.balancer.class_types[0]
         for i in range(1, 5):
             for _ in range(20):
-                t.add(world.now, world.balancer.fleet.workers[i], 50.0 if i == fast else 400.0)
+                t.record(world.now, world.balancer.fleet.workers[i], 50.0 if i == fast else 400.0)
         picks = set()
         for _ in range(12):
             r = world.request()
@@ -72,9 +72,9 @@
     t = JobType(1, log(100.0))
     for _ in range(60):
         for i in range(1, 10):
-            t.add(0.0, workers[i], 100.0)
-    t.add(0.0, workers[10], 800.0)
-    t.solve(0.0, workers, [11], 0.5)
+            t.record(0.0, workers[i], 100.0)
+    t.record(0.0, workers[10], 800.0)
+    t.update_rates(0.0, workers, [11], 0.5)
     assert 11 not in t.rates
     assert 1 / t.rates[10] < 2.0  # one sample of eight times the usual is not believed
     assert t.kind_rates[0] == pytest.approx(t.rates[1], rel=0.1)
@@ -84,11 +84,11 @@
     workers = {i: Worker(entry(i)) for i in (1, 2)}
     t = JobType(1, log(100.0))
     for _ in range(30):
-        t.add(0.0, workers[1], 800.0)
-        t.add(0.0, workers[2], 100.0)
-    t.solve(0.0, workers, [2], 0.5)
+        t.record(0.0, workers[1], 800.0)
+        t.record(0.0, workers[2], 100.0)
+    t.update_rates(0.0, workers, [2], 0.5)
     before = t.rates[2] / t.rates[1]
-    t.solve(60_000.0, workers, [2], 0.5)
+    t.update_rates(60_000.0, workers, [2], 0.5)
     after = t.rates.get(2, 1.0) / t.rates.get(1, 1.0)
     assert before > 3
     assert after < 1.5
@@ -150,8 +150,8 @@
     world = World(workers=1, report_fields=REPORTS)
     world.serve(world.request(), report=(100.0, 4.0, 0.0, 9.0))
     w = world.balancer.fleet.workers[1]
-    assert world.balancer.reports.free(world.now, w, 1.0, 0.0) is False
-    assert world.balancer.reports.free(world.now + 60_000.0, w, 1.0, 0.0) is None
+    assert world.balancer.reports.has_room(world.now, w, 1.0, 0.0) is False
+    assert world.balancer.reports.has_room(world.now + 60_000.0, w, 1.0, 0.0) is None
 
 
 def test_full_bars_for_that_size_and_the_next_in_gap_order_gets_the_job() -> None:
@@ -217,7 +217,7 @@
     world = World(workers=4)
     for i in range(6000):
         world.serve(world.request(key=100 + i))
-    assert len(world.balancer.key_types) == KEYS_MAX
+    assert len(world.balancer.key_types) == MAX_KEYS
     world.serve(world.request(key=7))
     assert (0, 7) in world.balancer.key_types and (0, 100) not in world.balancer.key_types
 
@@ -254,7 +254,7 @@
         for zone, world in enumerate(worlds):
             again = world.serve(world.request(key=key))
             assert again % 3 == zone  # asked for again so soon: a home in each zone
-            world.now += MET_MS
+            world.now += KEY_TTL_MS
         assert {world.serve(world.request(key=key)) for world in worlds} == {home}  # so long after: seldom
         assert [world.serve(world.request()) % 3 for world in worlds] == [0, 1, 2]  # no key, nothing to fetch
     assert {home % 3 for home in homes} == {0, 1, 2}
@@ -268,7 +268,7 @@
         world.serve(job, latency=300.0)  # each key new to its worker
         world.serve(world.request(key=1 + i), latency=100.0)
         world.now += 20.0
-    assert 0.8 < t.fetch < 1.3  # log 3 is 1.1
+    assert 0.8 < t.fetch_log < 1.3  # log 3 is 1.1
     assert abs(t.rates[1] / t.rates[2] - 1.0) < 0.2  # the fetch is not held against the worker
 
 
@@ -285,7 +285,7 @@
     r = world.request()
     assert world.attempts(r) == 0
     probed = list(world.actions.probes)
-    assert len(probed) == LOOKS
+    assert len(probed) == PROBES_PER_ROUND
     for w in probed:
         world.balancer.on_probe_result(world.now, w, Status.OK, 1.0, (2.0 if w == probed[1] else 0.0, 0.0))
     assert world.worker_of(r) == probed[1]
@@ -297,7 +297,7 @@
         world = World(workers=1, report_fields=("free_slots", "queue"), queue_order=order)
         world.serve(world.request(), report=(3.0, 5.0))
         w = world.balancer.fleet.workers[1]
-        assert world.balancer.reports.free(world.now, w, 1.0, 0.0) is free
+        assert world.balancer.reports.has_room(world.now, w, 1.0, 0.0) is free
 
 
 def test_a_look_holds_a_job_no_longer_than_its_limit() -> None:
@@ -368,9 +368,9 @@
     b.wait(5.0)
     talk(a, b)
     w = b.balancer.fleet.workers[1]
-    assert (b.balancer._slots(w, b.now), b.balancer._out(w)) == (4, 3)
+    assert (b.balancer._known_slots(w, b.now), b.balancer._total_slots_out(w)) == (4, 3)
     b.now += 5_000.0
-    assert b.balancer._slots(w, b.now) == 0
+    assert b.balancer._known_slots(w, b.now) == 0
     b.request()
     assert b.actions.probes == [1]  # it looks again
 
@@ -385,7 +385,7 @@
     assert drains not in {a.worker_of(a.request(slots=1.0)) for _ in range(6)}  # more than the other's slots
     a.wait(300.0)
     again = next(r for r in [a.request(slots=1.0) for _ in range(3)] if a.worker_of(r) == drains)
-    a.balancer.fleet.workers[drains].full_times = 9  # it may be back soon, however often it said so
+    a.balancer.fleet.workers[drains].full_count = 9  # it may be back soon, however often it said so
     a.outcome(again, 0, Status.FULL, 5.0)
     assert a.now < a.balancer.fleet.workers[drains].full_until <= a.now + 900.0
 
@@ -394,7 +394,7 @@
     """Jobs in all the slots of a worker at a third of its capacity take three times as long."""
     a, _ = pair(entries=[entry(1), entry(2, ready_at=1_000.0)], cold_from=0.3, cold_ms=1_000.0)
     cold = a.balancer.fleet.workers[2]
-    assert [a.balancer._slots(cold, 1_000.0 + age) for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
+    assert [a.balancer._known_slots(cold, 1_000.0 + age) for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
     job = a.balancer.jobs[a.request()]
     cold.slots_out = 1.0
     assert a.balancer._available(cold, job, 2_200.0)
@@ -410,7 +410,7 @@
     w = b.balancer.fleet.workers[1]
     for data in (first, b"", b"\xd0", first[:-1], b"\xd9" + first[1:], b"gh1" + first):
         b.balancer.on_peer(b.now, 0, data)
-        assert b.balancer._out(w) == 2
+        assert b.balancer._total_slots_out(w) == 2
 
 
 def test_nothing_is_told_where_it_is_dear_or_not_allowed() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,33 +10,34 @@
 
 from gaphub.recovery.pacing import Budget, Pacer, jitter
 from gaphub.recovery.slowstart import ColdShare
-from gaphub.recovery.trust import Ages, Epochs, Learnt, Origin, blend, weight
+from gaphub.recovery.trust import AgeLimits, Epochs, Observation, Origin, blend, weight
 
-AGES = Ages()
+AGES = AgeLimits()
 origins = st.sampled_from(list(Origin))
-pieces = st.builds(Learnt, st.floats(0, 1e4), st.floats(0, 1e5), origins, st.integers(0, 200), st.integers(1, 3))
+pieces = st.builds(Observation, st.floats(0, 1e4), st.floats(0, 1e5), origins, st.integers(0, 200),
+                   st.integers(1, 3))
 
 
 @given(pieces, st.floats(0, 2e5), st.integers(1, 3))
 def test_weight_is_nothing_for_an_ended_epoch_and_advice_for_what_was_restored(
-        piece: Learnt, now: float, epoch: int) -> None:
+        piece: Observation, now: float, epoch: int) -> None:
     w = weight(piece, now, epoch, AGES)
     assert 0.0 <= w <= 1.0
-    if piece.epoch != epoch or now - piece.learnt_ms >= AGES.limit(piece.origin):
+    if piece.epoch != epoch or now - piece.observed_ms >= AGES.limit(piece.origin):
         assert w == 0.0
     if piece.origin == Origin.RESTORED:
         assert w <= AGES.advice_weight
 
 
 @given(pieces, st.floats(0, 1e5), st.floats(0, 1e5))
-def test_weight_never_grows_with_age(piece: Learnt, a: float, b: float) -> None:
-    early, late = sorted((piece.learnt_ms + a, piece.learnt_ms + b))
+def test_weight_never_grows_with_age(piece: Observation, a: float, b: float) -> None:
+    early, late = sorted((piece.observed_ms + a, piece.observed_ms + b))
     assert weight(piece, late, piece.epoch, AGES) <= weight(piece, early, piece.epoch, AGES)
 
 
 @given(st.lists(pieces, max_size=8), st.floats(0, 2e5), st.integers(1, 3), st.floats(0, 1e4))
 def test_blend_stays_within_what_counts_and_ignores_ended_epochs(
-        found: list[Learnt], now: float, epoch: int, prior: float) -> None:
+        found: list[Observation], now: float, epoch: int, prior: float) -> None:
     value = blend(found, now, epoch, AGES, prior)
     counted = [p.value for p in found if weight(p, now, epoch, AGES) > 0]
     assert min([prior, *counted]) - 1e-6 <= value <= max([prior, *counted]) + 1e-6
@@ -45,17 +46,17 @@
 
 
 def test_advice_alone_pulls_but_a_count_of_an_ended_life_does_not() -> None:
-    restored = Learnt(10.0, 0.0, Origin.RESTORED, 5, 1)
+    restored = Observation(10.0, 0.0, Origin.RESTORED, 5, 1)
     assert 0.0 < blend([restored], 0.0, 1, AGES, 0.0) < 10.0
     assert blend([restored], 0.0, 2, AGES, 0.0) == 0.0
-    seen = Learnt(10.0, 0.0, Origin.SEEN, 0, 1)
+    seen = Observation(10.0, 0.0, Origin.SEEN, 0, 1)
     assert blend([seen], 0.0, 1, AGES, 0.0) > blend([restored], 0.0, 1, AGES, 0.0)
 
 
 def test_ages_that_mean_nothing_are_refused() -> None:
     for wrong in ({"fresh_ms": -1.0}, {"peer_ms": 500.0}, {"advice_weight": 1.5}):
         with pytest.raises(ValueError, match=next(iter(wrong))):
-            Ages(**wrong)
+            AgeLimits(**wrong)
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0, 1e4), st.booleans()), max_size=40))
@@ -65,12 +66,12 @@
     lives: dict[int, int] = {}
     for worker, at, leaves in events:
         if leaves:
-            epochs.gone(worker)
+            epochs.record_gone(worker)
             ready.pop(worker, None)
             assert epochs.epoch(worker) == 0
             continue
         before = epochs.epoch(worker)
-        now = epochs.listed(worker, at)
+        now = epochs.record_listed(worker, at)
         if worker in ready and at <= ready[worker]:
             assert now == before
         else:
@@ -103,7 +104,7 @@
         for end in sent[i:]:
             window = end - start
             count = sum(1 for t in sent if start <= t <= end)
-            assert count <= budget.most(window) + 1e-9
+            assert count <= budget.max_actions(window) + 1e-9
     assert all(t >= 100.0 for t in sent), "nothing before the start"
 
 
@@ -143,9 +144,9 @@
     share = ColdShare(0, 10, 40.0, 100.0)
     assert share.window == pytest.approx(0.5)
     for _ in range(7):
-        share.answered(True)
-    assert share.window == pytest.approx(share.part) == pytest.approx(4.0)
-    share.answered(False)
-    assert share.window < share.part
+        share.record_answer(True)
+    assert share.window == pytest.approx(share.share) == pytest.approx(4.0)
+    share.record_answer(False)
+    assert share.window < share.share
     with pytest.raises(ValueError, match="me"):
         ColdShare(10, 10, 40.0, 100.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -193,7 +193,7 @@
         for i in range(world.balancer.settings.max_attempts):
             world.outcome(r, i, Status.FULL, 1.0)
         world.wait(10.0)
-    assert world.balancer._served_rate(world.now) == 0.0
+    assert world.balancer._served_per_ms(world.now) == 0.0
 
 
 def test_a_worker_is_warm_after_the_stated_time() -> None:
@@ -217,16 +217,16 @@
     assert not world.balancer.jobs
     assert len(world.balancer.class_types[0].samples) <= 3
     world.wait(20_000.0)
-    assert not world.balancer.heap
+    assert not world.balancer.timers
 
 
 def test_the_wait_after_failed_list_calls_doubles() -> None:
     world = World(workers=1, must_ask=True)
     for _ in range(3):
         world.balancer.on_workers(world.now, ListKind.FAILED, [])
-    assert world.balancer.list_wait >= 5000.0
+    assert world.balancer.list_retry_ms >= 5000.0
     world.balancer.on_workers(world.now, ListKind.FULL, [entry(1)])
-    assert world.balancer.list_wait < 1000.0
+    assert world.balancer.list_retry_ms < 1000.0
 
 
 def test_what_cold_workers_serve_does_not_raise_the_pace() -> None:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gaphub.start_times import FUTURE_MS, LAG_MS, StartTimes
+from gaphub.start_times import DISCOVERY_LAG_MS, MAX_AHEAD_MS, StartTimes
 
 NOW = 1e9
 HOUR = 3_600_000.0
@@ -13,10 +13,10 @@
 def test_without_a_step_a_start_is_as_it_is_told() -> None:
     starts = StartTimes()
     starts.record_wall_clock(0.2)
-    for told in (0.0, NOW - 5 * HOUR, NOW - 20.0, NOW + FUTURE_MS):
+    for told in (0.0, NOW - 5 * HOUR, NOW - 20.0, NOW + MAX_AHEAD_MS):
         assert starts.to_own_clock(f"w{told}", told, NOW) == told
     starts.record_answer(NOW)
-    assert starts.to_own_clock("w", NOW - LAG_MS, NOW + 10.0) == NOW - LAG_MS
+    assert starts.to_own_clock("w", NOW - DISCOVERY_LAG_MS, NOW + 10.0) == NOW - DISCOVERY_LAG_MS
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, 7_000.0, -7_000.0])
@@ -26,8 +26,8 @@
     for age in (0.0, 300.0, 6_000.0):
         stamped_after = starts.to_own_clock(f"a{age}", NOW - age + step, NOW)
         stamped_before = starts.to_own_clock(f"b{age}", NOW - age, NOW)
-        assert NOW - age <= stamped_after <= NOW + FUTURE_MS
-        assert NOW - age <= stamped_before <= NOW + FUTURE_MS
+        assert NOW - age <= stamped_after <= NOW + MAX_AHEAD_MS
+        assert NOW - age <= stamped_before <= NOW + MAX_AHEAD_MS
 
 
 def test_who_joins_after_a_list_did_not_start_long_before_it() -> None:
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -63,7 +63,7 @@
     assert not failures(1)  # its bar is over, but what may not be repeated is no trial
     assert failures(0) == 1
     world.wait(2_600.0)
-    while world.balancer.fleet.workers[bad].errors > 0.2:  # it has recovered, and a few jobs show it
+    while world.balancer.fleet.workers[bad].error_rate > 0.2:  # it has recovered, and a few jobs show it
         for r in [world.request() for _ in range(4)]:
             world.serve(r)
     assert bad in {world.worker_of(r) for r in [world.request(1) for _ in range(6)]}
@@ -90,7 +90,7 @@
     world.outcome(r, 0, Status.ERROR, 15.0)
     for r in [world.request() for _ in range(10)]:
         world.serve(r)
-    assert world.balancer.fleet.workers[bad].errors < 0.1
+    assert world.balancer.fleet.workers[bad].error_rate < 0.1
     assert bad not in {world.worker_of(r) for r in [world.request(2) for _ in range(10)]}
     assert bad in {world.worker_of(r) for r in [world.request(1) for _ in range(10)]}
 
@@ -140,7 +140,7 @@
     world = World(workers=2, report_fields=REPORTS)
     for number, free_slots in ((1, 0.0), (2, 4.0)):
         worker = world.balancer.fleet.workers[number]
-        world.balancer.reports.take(world.now, worker, (100.0, 4.0, free_slots, 1.0))
+        world.balancer.reports.record(world.now, worker, (100.0, 4.0, free_slots, 1.0))
         worker.ejected_until = world.now + 1_000.0
     assert {world.worker_of(world.request()) for _ in range(4)} == {2}
 
@@ -169,9 +169,9 @@
     for _ in range(3):
         world.wait(1000.0)
         world.balancer.on_progress(world.now, r, 0, 0.2)
-    assert not w.strikes
+    assert not w.ejections
     world.wait(2700.0)
-    assert w.strikes
+    assert w.ejections
 
 
 def test_waiting_in_a_queue_is_not_silence() -> None:
@@ -180,7 +180,7 @@
     r = world.request()
     world.wait(4000.0)
     assert world.attempts(r) == 1
-    assert not any(w.strikes for w in world.balancer.fleet.workers.values())
+    assert not any(w.ejections for w in world.balancer.fleet.workers.values())
 
 
 def test_a_job_that_waits_queues_elsewhere_and_the_first_start_calls_the_rest_off() -> None:
@@ -301,7 +301,7 @@
     world.serve(world.request(), report=(1.0, 0.0, 100.0))
     world.serve(world.request(), report=(0.0, 3.0, 100.0))  # a wait of 400 ms
     cheap = world.request(1)
-    assert world.actions.refused == [cheap] and 180.0 <= world.actions.returns[0] <= 420.0
+    assert world.actions.refused == [cheap] and 180.0 <= world.actions.retry_afters[0] <= 420.0
     assert world.attempts(world.request(0)) == 1
 
 
@@ -312,7 +312,7 @@
     world.serve(world.request(), report=(0.0, 90.0, 100.0))
     for _ in range(200):
         world.request()
-    returns = sorted(world.actions.returns)
+    returns = sorted(world.actions.retry_afters)
     assert len(returns) == 200
     assert max(b - a for a, b in zip(returns, returns[20:], strict=False)) < 0.5 * (returns[-1] - returns[0])
     assert returns[-1] - returns[0] > 100.0
@@ -334,9 +334,10 @@
 def test_a_zone_whose_workers_have_just_started_is_used_at_once(age: float, used: bool) -> None:
     world = World(entries=[entry(1), entry(2, zone=1)], zones=2)
     world.now = 100_000.0
-    world.balancer.reach.failing[1] = 0.99
+    world.balancer.zone_reach.failure_shares[1] = 0.99
     world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(2, zone=1, ready_at=world.now - age)])
-    assert all(world.balancer.reach.zones(world.balancer.rng.random) == () for _ in range(20)) is used
+    assert all(world.balancer.zone_reach.candidate_zones(world.balancer.rng.random) == ()
+               for _ in range(20)) is used
 
 
 def test_log_lines_are_bounded() -> None:
@@ -346,7 +347,7 @@
         for i in range(3):
             world.outcome(r, i, Status.CONNECT_FAILED, 250.0)
         world.wait(500.0)
-    assert 0 < len(world.actions.lines) <= 12
+    assert 0 < len(world.actions.log_lines) <= 12
 
 
 def test_same_events_same_actions() -> None:
@@ -405,7 +406,7 @@
     world.balancer.on_started(world.now, r, 0)
     assert not world.actions.cancelled
     r = world.request(hint_ms=1000.0)
-    world.balancer.run = [3.0]
+    world.balancer.run_ms_per_hint = [3.0]
     world.balancer.on_started(world.now, r, 0)
     assert (r, 0) in world.actions.cancelled
 
@@ -436,11 +437,11 @@
     for _ in range(6):
         r = world.request()
         for i in range(4):
-            if i < world.attempts(r) and not world.balancer.jobs[r].over:
+            if i < world.attempts(r) and not world.balancer.jobs[r].closed:
                 far = world.balancer.fleet.workers[world.worker_of(r, i)].zone == 0
                 world.outcome(r, i, Status.CONNECT_FAILED if far else Status.OK, 250.0)
                 if not far:
                     break
-    assert world.balancer.reach.failing[0] > 0.5
+    assert world.balancer.zone_reach.failure_shares[0] > 0.5
     sends = [world.balancer.fleet.workers[world.worker_of(world.request())].zone for _ in range(30)]
     assert sum(z == 0 for z in sends) <= 3
