--- a/gaphub/attempt_rules.py
+++ b/gaphub/attempt_rules.py
@@ -35,7 +35,7 @@
 def _in_group(group: Group, earlier: list[Call], destination: Destination) -> bool:
     """Whether a destination is in the group that drops repeats of all earlier calls."""
     listed = destination.listed
-    others = [call.to or call.destination.listed for call in earlier]
+    others = [call.listed_at_send or call.destination.listed for call in earlier]
     if group == Group.ZONE:
         return all(other.zone == listed.zone for other in others)
     if group == Group.CELL:
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -23,7 +23,7 @@
 from ..config import GARBLED, Address, Config, ConfigError, DestinationList, ListedEntry, address
 from ..core import Core
 from ..interface import ListKind, WorkerState
-from ..messages import Listed
+from ..messages import ListedDestination
 from ..metrics import Counters
 from .http import Connection, ConnectionLostError, NeverWrittenError
 
@@ -35,11 +35,12 @@
 WATCH_MARGIN_S = 0.5  # an answer that is later than this after the wait: the agent is silent, the call is retried
 CALL_TIMEOUT_S = 2.0  # for connecting and for calls without a wait
 RETRY_MIN_S = 0.1  # after a failed call; doubles with each further failure up to the maximum of the mode
-RETRY_MAX_S = 0.8  # in subscribe mode: the list of an agent with a new address counts as delivered within seconds
+# In subscribe mode.  After a change of the agent's address, its list counts as delivered within seconds.
+RETRY_MAX_S = 0.8
 # In automatic mode, what the agent has counts as delivered at once, also when it has just come back after an
 # outage.  Its calls cost nothing, so it is retried soon enough to keep the drain grace period.
 AUTO_RETRY_MAX_S = 0.2  # the agent takes a watch as continued if the next call comes within this time
-GRACE_FRACTION = 0.25  # of the drain grace period: maximum pause in automatic mode
+GRACE_FRACTION = 0.25  # of the drain grace period: the longest pause in automatic mode
 AUTO_RETRY_MIN_S = 0.02  # lower bound of that maximum, however short the grace period
 # Bounds the calls per second to an agent that answers watches at once: after an immediate answer without changes
 # the next call waits RETRY_MIN_S, and after more than IMMEDIATE_MAX immediate answers in a row IMMEDIATE_PAUSE_S.
@@ -106,7 +107,7 @@
 
     def publish_cached(self) -> None:
         """Pass to the core the list that this scheduler held last, from its configuration."""
-        self.core.listed(SOURCE, ListKind.CACHED, self._entries(self.cached))
+        self.core.update_destinations(SOURCE, ListKind.CACHED, self._entries(self.cached))
 
     async def run(self) -> None:
         """Follow the list for ever; failures are logged and retried after a pause, and never end the actor."""
@@ -131,7 +132,7 @@
                     self.counters.log("lists.failed", repr(error))
                     if self.core.settings.must_ask:
                         self.watching = False  # until the balancer asks again
-                        await self.core.post(self.core.list_failed)
+                        await self.core.post(self.core.discovery_failed)
                     if not isinstance(error, TimeoutError):  # a time-out was a pause already
                         await self._unless_agent_changes(asyncio.sleep(pause))
                         pause = min(self._max_pause_s(), pause * 2)
@@ -214,12 +215,12 @@
         self._full_list_due = self._full_list_due and not full
         if entries or answer.full:
             kind = ListKind.FULL if answer.full else ListKind.CHANGES
-            await self.core.post(lambda: self.core.listed(SOURCE, kind, entries))
+            await self.core.post(lambda: self.core.update_destinations(SOURCE, kind, entries))
         else:
-            await self.core.post(self.core.heard_discovery)
+            await self.core.post(self.core.discovery_answered)
         return bool(entries or answer.full)
 
-    def _entries(self, answer: DestinationList) -> list[Listed]:
+    def _entries(self, answer: DestinationList) -> list[ListedDestination]:
         return [self._entry(entry) for entry in answer.servers if self._has_usable_address(entry)]
 
     def _has_usable_address(self, entry: ListedEntry) -> bool:
@@ -236,6 +237,6 @@
                 return False
         return True
 
-    def _entry(self, e: ListedEntry) -> Listed:
-        return Listed(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
+    def _entry(self, e: ListedEntry) -> ListedDestination:
+        return ListedDestination(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
                       self.zones.get(e.zone, 0), e.started_ms)
