--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""A recording Actions and a small in-memory world to drive a Balancer in tests."""
+"""A recording Actions and an in-memory host that drives a Balancer in tests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Recorder:
-    """Actions that are written down."""
+    """Records the actions of a balancer."""
 
     def __init__(self) -> None:
         self.sends: list[tuple[int, int]] = []
@@ -70,7 +70,7 @@
 
 
 class World:
-    """One balancer, its clock and its recorder."""
+    """A balancer with its clock and its recorder."""
 
     def __init__(
         self,
@@ -113,11 +113,11 @@
         return self.worker_of(request, 0)
 
     def serve_last(self, request: int) -> None:
-        """Serve the newest attempt."""
+        """Let the latest attempt succeed."""
         self.outcome(request, self.attempts(request) - 1, Status.OK)
 
     def wait(self, ms: float, step: float = 5.0) -> None:
-        """Let time pass; the pending alarm rings when due, as a host would ring it."""
+        """Advance the clock; the pending timer fires when due, as a host would fire it."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -1,8 +1,8 @@
-"""What the decisions of all schedulers together send to a worker in slow start stays within its budget.
+"""All schedulers together stay within the budget of a worker in slow start.
 
-The real decisions in the model of a fleet: no sockets, no clock.  The budget is that of the operators' notes, in
-any window of ``rules.fall``, however few or many schedulers run.  Here they do not hear each other, and the
-workers that restart are slower than the mean of the workers by which a scheduler can guess.
+Runs the real decisions in the model of a fleet, without sockets and clock.  The budget holds in any window of
+``rules.fall``, however few or many schedulers run.  Here they do not hear each other, and the workers that restart
+are slower than the mean worker, from which a scheduler estimates the budget.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 SCHEDULERS = 30
 SLOTS = 8
 WORKERS = 12
-BACK = [1, 2, 3]  # the workers that restart
+RESTARTED = [1, 2, 3]  # workers that restart
 CLASSES = ((6 / 7, 100.0, 1), (1 / 7, 400.0, 4))  # share of the requests, work in ms at speed 1, slots
-LOAD = 0.7  # of what the workers bear
+LOAD = 0.7  # of the workers' capacity
 COLD_MS = 9_000.0
-SPEEDS = (0.6, 1.4)  # of two kinds of workers; those that restart are slow
-QUIET, BURST = 0.1, 6.0  # times the load at first
+SPEEDS = (0.6, 1.4)  # of two kinds of workers; those that restart are of the slow one
+QUIET_PACE, BURST_PACE = 0.1, 6.0  # times the initial load
 QUIET_MS = 6_000.0
 
 
 def fleet_of(schedulers: int, seed: int) -> Fleet:
-    """Schedulers that tell each other nothing; a seventh of the requests is heavy and takes four slots."""
+    """Schedulers that exchange no counts; a seventh of the requests is heavy and takes four slots."""
     classes = (ClassSettings(aim_ms=300.0, deadline_ms=3_000.0),
                ClassSettings(aim_ms=1_200.0, deadline_ms=8_000.0, effect=Effect.UNSAFE))
-    mean_ms = sum(share * work_ms * slots for share, work_ms, slots in CLASSES)  # of slots
+    mean_ms = sum(share * work_ms * slots for share, work_ms, slots in CLASSES)  # slot time of a request
     per_s = LOAD * WORKERS * SLOTS / mean_ms * 1e3
     loads = [Load(per_s * share, work_ms, slots) for share, work_ms, slots in CLASSES]
     settings = Settings(classes=classes, balancers=schedulers, kinds=len(SPEEDS), tells_start=True,
@@ -45,30 +45,30 @@
 
 
 def a_burst_after_a_quiet_time(fleet: Fleet) -> None:
-    fleet.pace = QUIET
-    fleet.restart_workers(BACK)
+    fleet.pace = QUIET_PACE
+    fleet.restart_workers(RESTARTED)
     fleet.run(QUIET_MS)
-    fleet.pace = BURST
+    fleet.pace = BURST_PACE
     fleet.run(3_000.0)
 
 
 def workers_that_restart_twice(fleet: Fleet) -> None:
     fleet.pace = 2.0
     for pause_ms in (700.0, 1_300.0, 4_000.0):
-        fleet.restart_workers(BACK)
+        fleet.restart_workers(RESTARTED)
         fleet.run(pause_ms)
 
 
 def a_restart_of_all_schedulers(fleet: Fleet) -> None:
     fleet.pace = 2.0
-    fleet.restart_workers(BACK)
+    fleet.restart_workers(RESTARTED)
     for pause_ms in (700.0, 900.0, 4_000.0):
         fleet.run(pause_ms)
         fleet.restart_gateways(list(range(len(fleet.gateways))))
     fleet.run(2_000.0)
 
 
-COURSES = [a_burst_after_a_quiet_time, workers_that_restart_twice, a_restart_of_all_schedulers]
+SCENARIOS = [a_burst_after_a_quiet_time, workers_that_restart_twice, a_restart_of_all_schedulers]
 
 
 @pytest.mark.parametrize("worker", [7, worker_identity("discovery", "s-0badcafe"), 2**64 - 1])
@@ -81,12 +81,12 @@
 
 
 @pytest.mark.parametrize("schedulers", [2, 3, 30])
-@pytest.mark.parametrize("course", COURSES)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 def test_the_budget_of_a_slow_worker_in_slow_start_holds_over_the_sum_of_all_schedulers(
-        course: Callable[[Fleet], None], schedulers: int) -> None:
+        scenario: Callable[[Fleet], None], schedulers: int) -> None:
     fleet = fleet_of(schedulers, 7)
     fleet.run(4_000.0)
-    course(fleet)
-    rush = fleet.worst_rush()
-    print(f"{course.__name__}, {schedulers} schedulers: {rush:.2f} of what is allowed")
-    assert 0.0 < rush <= 1.0
+    scenario(fleet)
+    peak_load = fleet.worst_rush()
+    print(f"{scenario.__name__}, {schedulers} schedulers: {peak_load:.2f} of what is allowed")
+    assert 0.0 < peak_load <= 1.0
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -1,4 +1,4 @@
-"""The mechanism: shares, gap order, ties, availability."""
+"""How a worker is picked: shares, gap order, ties, availability, keys, probes and peers' counts."""
 
 from __future__ import annotations
 
@@ -21,75 +21,75 @@
     world = World(workers=4)
     for _ in range(8):
         world.request()
-    assert set(Counter(w for _, w in world.actions.sends).values()) == {2}
+    assert set(Counter(worker for _, worker in world.actions.sends).values()) == {2}
 
 
 def test_shares_follow_the_inverse_of_response_times() -> None:
     world = World(workers=2)
     for _ in range(60):
-        for r in [world.request() for _ in range(8)]:
-            world.serve(r, 100.0 if world.worker_of(r) == 1 else 300.0)
+        for request in [world.request() for _ in range(8)]:
+            world.serve(request, 100.0 if world.worker_of(request) == 1 else 300.0)
         world.wait(100.0)
     world.actions.sends.clear()
     for _ in range(40):
         world.request()
-    sent = Counter(w for _, w in world.actions.sends)
+    sent = Counter(worker for _, worker in world.actions.sends)
     assert 2.3 < sent[1] / sent[2] < 3.7
 
 
 def test_ties_go_to_the_larger_share() -> None:
     world = World(workers=2)
     for _ in range(200):
-        r = world.request()
-        world.serve(r, 300.0 if world.worker_of(r) == 1 else 100.0)
+        request = world.request()
+        world.serve(request, 300.0 if world.worker_of(request) == 1 else 100.0)
         world.wait(20.0)
     picks = set()
     for _ in range(20):
-        r = world.request()
-        picks.add(world.worker_of(r))
-        world.serve(r, 300.0 if world.worker_of(r) == 1 else 100.0)
+        request = world.request()
+        picks.add(world.worker_of(request))
+        world.serve(request, 300.0 if world.worker_of(request) == 1 else 100.0)
     assert picks == {2}
 
 
 def test_equal_gaps_go_to_the_larger_share_whatever_the_order() -> None:
-    """With nothing in flight all gaps are 0; the fast worker stands first and last in the pool."""
+    """With nothing in flight all gaps are 0; the fast worker is first, then last in the pool."""
     for fast in (1, 4):
         world = World(workers=4)
-        t = world.balancer.class_types[0]
+        job_type = world.balancer.class_types[0]
         for i in range(1, 5):
             for _ in range(20):
-                t.record(world.now, world.balancer.fleet.workers[i], 50.0 if i == fast else 400.0)
+                job_type.record(world.now, world.balancer.fleet.workers[i], 50.0 if i == fast else 400.0)
         picks = set()
         for _ in range(12):
-            r = world.request()
-            picks.add(world.worker_of(r))
-            world.outcome(r, 0, Status.OK, 0.0)
+            request = world.request()
+            picks.add(world.worker_of(request))
+            world.outcome(request, 0, Status.OK, 0.0)
         assert picks == {fast}
 
 
 def test_an_unseen_worker_borrows_the_median_and_a_sparse_one_is_shrunk_to_it() -> None:
     workers = {i: Worker(entry(i)) for i in range(1, 12)}
-    t = JobType(1, log(100.0))
+    job_type = JobType(1, log(100.0))
     for _ in range(60):
         for i in range(1, 10):
-            t.record(0.0, workers[i], 100.0)
-    t.record(0.0, workers[10], 800.0)
-    t.update_rates(0.0, workers, [11], 0.5)
-    assert 11 not in t.rates
-    assert 1 / t.rates[10] < 2.0  # one sample of eight times the usual is not believed
-    assert t.kind_rates[0] == pytest.approx(t.rates[1], rel=0.1)
+            job_type.record(0.0, workers[i], 100.0)
+    job_type.record(0.0, workers[10], 800.0)
+    job_type.update_rates(0.0, workers, [11], 0.5)
+    assert 11 not in job_type.rates
+    assert 1 / job_type.rates[10] < 2.0  # one sample of eight times the usual has little weight
+    assert job_type.kind_rates[0] == pytest.approx(job_type.rates[1], rel=0.1)
 
 
 def test_old_samples_fade() -> None:
     workers = {i: Worker(entry(i)) for i in (1, 2)}
-    t = JobType(1, log(100.0))
+    job_type = JobType(1, log(100.0))
     for _ in range(30):
-        t.record(0.0, workers[1], 800.0)
-        t.record(0.0, workers[2], 100.0)
-    t.update_rates(0.0, workers, [2], 0.5)
-    before = t.rates[2] / t.rates[1]
-    t.update_rates(60_000.0, workers, [2], 0.5)
-    after = t.rates.get(2, 1.0) / t.rates.get(1, 1.0)
+        job_type.record(0.0, workers[1], 800.0)
+        job_type.record(0.0, workers[2], 100.0)
+    job_type.update_rates(0.0, workers, [2], 0.5)
+    before = job_type.rates[2] / job_type.rates[1]
+    job_type.update_rates(60_000.0, workers, [2], 0.5)
+    after = job_type.rates.get(2, 1.0) / job_type.rates.get(1, 1.0)
     assert before > 3
     assert after < 1.5
 
@@ -97,69 +97,69 @@
 def test_a_restarted_worker_is_not_judged_by_its_past() -> None:
     world = World(workers=2)
     for _ in range(40):
-        r = world.request()
-        world.serve(r, 100.0 if world.worker_of(r) == 1 else 300.0)
-    t = world.balancer.class_types[0]
-    assert 2 in t.samples
+        request = world.request()
+        world.serve(request, 100.0 if world.worker_of(request) == 1 else 300.0)
+    job_type = world.balancer.class_types[0]
+    assert 2 in job_type.samples
     world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(2, ready_at=world.now - 1.0)])
-    assert 2 not in t.samples
+    assert 2 not in job_type.samples
 
 
 def test_only_served_jobs_enter_profiles() -> None:
     world = World(workers=2)
-    r = world.request()
-    world.outcome(r, 0, Status.FULL, 1.0)
-    world.outcome(r, 1, Status.ERROR, 1.0)
+    request = world.request()
+    world.outcome(request, 0, Status.FULL, 1.0)
+    world.outcome(request, 1, Status.ERROR, 1.0)
     assert world.balancer.class_types[0].served == 0
 
 
 def test_a_hint_normalises_the_response_time() -> None:
     world = World(workers=1)
     for hint in (100.0, 1000.0, 10.0):
-        r = world.request(hint_ms=hint)
-        world.serve(r, hint * 2.0)
+        request = world.request(hint_ms=hint)
+        world.serve(request, hint * 2.0)
     assert world.balancer.hint_types[0].mean_log == pytest.approx(log(2.0), abs=0.36)
     assert world.balancer.class_types[0].served == 0
 
 
 def test_a_report_without_free_slots_makes_unavailable() -> None:
     world = World(workers=3, report_fields=REPORTS)
-    for r in [world.request() for _ in range(3)]:
-        free = 5.0 if world.worker_of(r) == 3 else 0.0
-        world.serve(r, report=(100.0, 5.0, free, 9.0))
+    for request in [world.request() for _ in range(3)]:
+        free = 5.0 if world.worker_of(request) == 3 else 0.0
+        world.serve(request, report=(100.0, 5.0, free, 9.0))
     picks = {world.worker_of(world.request()) for _ in range(3)}
     assert picks == {3}
 
 
 def test_own_sends_since_a_report_count_against_its_free_slots() -> None:
     world = World(workers=2, report_fields=REPORTS)
-    for r in [world.request() for _ in range(2)]:
-        world.serve(r, report=(100.0, 4.0, 1.0 if world.worker_of(r) == 1 else 2.0, 9.0))
+    for request in [world.request() for _ in range(2)]:
+        world.serve(request, report=(100.0, 4.0, 1.0 if world.worker_of(request) == 1 else 2.0, 9.0))
     sent = Counter(world.worker_of(world.request()) for _ in range(3))
     assert sent == {1: 1, 2: 2}
 
 
 def test_memory_counts_like_slots() -> None:
     world = World(workers=2, report_fields=REPORTS)
-    for r in [world.request() for _ in range(2)]:
-        world.serve(r, report=(100.0, 0.0, 9.0, 1.0 if world.worker_of(r) == 1 else 9.0))
+    for request in [world.request() for _ in range(2)]:
+        world.serve(request, report=(100.0, 0.0, 9.0, 1.0 if world.worker_of(request) == 1 else 9.0))
     assert {world.worker_of(world.request(memory=2.0)) for _ in range(3)} == {2}
 
 
 def test_an_old_report_counts_as_none() -> None:
     world = World(workers=1, report_fields=REPORTS)
     world.serve(world.request(), report=(100.0, 4.0, 0.0, 9.0))
-    w = world.balancer.fleet.workers[1]
-    assert world.balancer.reports.has_room(world.now, w, 1.0, 0.0) is False
-    assert world.balancer.reports.has_room(world.now + 60_000.0, w, 1.0, 0.0) is None
+    worker = world.balancer.fleet.workers[1]
+    assert world.balancer.reports.has_room(world.now, worker, 1.0, 0.0) is False
+    assert world.balancer.reports.has_room(world.now + 60_000.0, worker, 1.0, 0.0) is None
 
 
 def test_full_bars_for_that_size_and_the_next_in_gap_order_gets_the_job() -> None:
     world = World(workers=2)
-    r = world.request(slots=4.0)
-    first = world.worker_of(r)
-    world.outcome(r, 0, Status.FULL, 1.0)
-    assert world.worker_of(r) != first
+    request = world.request(slots=4.0)
+    first = world.worker_of(request)
+    world.outcome(request, 0, Status.FULL, 1.0)
+    assert world.worker_of(request) != first
     small = [world.worker_of(world.request(slots=1.0)) for _ in range(2)]
     assert first in small  # a smaller job is not barred
     big = [world.worker_of(world.request(slots=4.0)) for _ in range(2)]
@@ -168,10 +168,10 @@
 
 def test_the_full_bar_ends() -> None:
     world = World(workers=2)
-    r = world.request()
-    first = world.worker_of(r)
-    world.outcome(r, 0, Status.FULL, 1.0)
-    world.outcome(r, 1, Status.OK)
+    request = world.request()
+    first = world.worker_of(request)
+    world.outcome(request, 0, Status.FULL, 1.0)
+    world.outcome(request, 1, Status.OK)
     world.wait(400.0)
     assert first in {world.worker_of(world.request()) for _ in range(2)}
 
@@ -190,7 +190,7 @@
 
 
 def test_few_jobs_in_flight_follow_the_shares_in_expectation() -> None:
-    """Without drawing by share, every gateway's single job would go to the same fast worker."""
+    """Without drawing by share, the single job of every scheduler would go to the same fast worker."""
     picks: Counter[int] = Counter()
     for seed in range(60):
         world = World(workers=40, seed=seed)
@@ -201,12 +201,12 @@
 def test_the_work_of_a_pick_does_not_grow_with_the_fleet() -> None:
     world = World(workers=5000)
     calls = 0
-    real = world.balancer._usable
+    original = world.balancer._usable
 
     def counted(*args: object) -> int:
         nonlocal calls
         calls += 1
-        return real(*args)  # type: ignore[arg-type]
+        return original(*args)  # type: ignore[arg-type]
 
     world.balancer.__class__ = type("Counting", (world.balancer.__class__,), {"_usable": staticmethod(counted)})
     world.request()
@@ -223,8 +223,8 @@
 
 
 def test_a_key_stays_where_it_was_fetched_and_every_gateway_draws_alike() -> None:
-    # Seen in the simulator: keys that moved at each job jammed the shared store, and half of all jobs
-    # of a quiet day were late.
+    # Guards against keys that move at each job: their fetches overload the shared store, and in the simulator half
+    # of all jobs were late at low load.
     homes: list[list[int]] = []
     for seed in (1, 2, 3):
         world = World(workers=10, seed=seed)
@@ -234,7 +234,7 @@
             assert len(workers) == 1
             homes[-1] += workers
     assert homes[0] == homes[1] == homes[2]
-    assert len(set(homes[0])) == 10  # the keys themselves are spread over all
+    assert len(set(homes[0])) == 10  # keys are spread over all workers
 
 
 def test_a_key_s_second_job_goes_elsewhere_while_the_first_runs() -> None:
@@ -244,7 +244,8 @@
 
 
 def test_a_key_that_is_seldom_asked_for_has_one_home_in_all_zones() -> None:
-    # Seen on Montevideo's calm days: with a home in each of three zones a third of all jobs had to fetch theirs.
+    # Guards against a home in each zone for rarely requested keys: with three zones, a third of all jobs at low
+    # load had to fetch their key's data.
     entries = [entry(i, zone=i % 3) for i in range(1, 13)]
     worlds = [World(entries=entries, zones=3, zone=zone) for zone in range(3)]
     homes = []
@@ -253,58 +254,59 @@
         homes.append(home)
         for zone, world in enumerate(worlds):
             again = world.serve(world.request(key=key))
-            assert again % 3 == zone  # asked for again so soon: a home in each zone
+            assert again % 3 == zone  # requested again so soon: a home in each zone
             world.now += KEY_TTL_MS
-        assert {world.serve(world.request(key=key)) for world in worlds} == {home}  # so long after: seldom
-        assert [world.serve(world.request()) % 3 for world in worlds] == [0, 1, 2]  # no key, nothing to fetch
+        assert {world.serve(world.request(key=key)) for world in worlds} == {home}  # rarely
+        assert [world.serve(world.request()) % 3 for world in worlds] == [0, 1, 2]  # no key, no fetch
     assert {home % 3 for home in homes} == {0, 1, 2}
 
 
 def test_a_fetch_lengthens_the_time_to_expect_where_the_key_was_not_met() -> None:
     world = World(workers=2)
-    t = world.balancer.class_types[0]
+    job_type = world.balancer.class_types[0]
     for i in range(400):
         job = world.request(key=1 + i)
         world.serve(job, latency=300.0)  # each key new to its worker
         world.serve(world.request(key=1 + i), latency=100.0)
         world.now += 20.0
-    assert 0.8 < t.fetch_log < 1.3  # log 3 is 1.1
-    assert abs(t.rates[1] / t.rates[2] - 1.0) < 0.2  # the fetch is not held against the worker
+    assert 0.8 < job_type.fetch_log < 1.3  # log 3 is 1.1
+    assert abs(job_type.rates[1] / job_type.rates[2] - 1.0) < 0.2  # the fetch is not held against the worker
 
 
 def test_own_zone_first_and_others_when_it_is_not_available() -> None:
     world = World(zones=2, entries=[entry(1), entry(2, zone=1)], report_fields=REPORTS)
-    r = world.request()
-    assert world.worker_of(r) == 1
-    world.serve(r, report=(100.0, 4.0, 0.0, 9.0))
+    request = world.request()
+    assert world.worker_of(request) == 1
+    world.serve(request, report=(100.0, 4.0, 0.0, 9.0))
     assert world.worker_of(world.request()) == 2
 
 
 def test_a_look_precedes_the_send_where_only_probes_report() -> None:
     world = World(workers=6, may_probe=True, reports_in_probes=True, report_fields=("free_slots", "queue"))
-    r = world.request()
-    assert world.attempts(r) == 0
+    request = world.request()
+    assert world.attempts(request) == 0
     probed = list(world.actions.probes)
     assert len(probed) == PROBES_PER_ROUND
-    for w in probed:
-        world.balancer.on_probe_result(world.now, w, Status.OK, 1.0, (2.0 if w == probed[1] else 0.0, 0.0))
-    assert world.worker_of(r) == probed[1]
+    for worker in probed:
+        world.balancer.on_probe_result(
+            world.now, worker, Status.OK, 1.0, (2.0 if worker == probed[1] else 0.0, 0.0))
+    assert world.worker_of(request) == probed[1]
 
 
 def test_a_slot_beside_a_queue_is_free_only_where_whatever_fits_starts() -> None:
-    """Behind a head that does not fit, jobs wait beside free slots; hung workers look the same."""
+    """Behind a queue head that does not fit, jobs wait beside free slots; hung workers look the same."""
     for order, free in (("fifo", False), ("backfill", True)):
         world = World(workers=1, report_fields=("free_slots", "queue"), queue_order=order)
         world.serve(world.request(), report=(3.0, 5.0))
-        w = world.balancer.fleet.workers[1]
-        assert world.balancer.reports.has_room(world.now, w, 1.0, 0.0) is free
+        worker = world.balancer.fleet.workers[1]
+        assert world.balancer.reports.has_room(world.now, worker, 1.0, 0.0) is free
 
 
 def test_a_look_holds_a_job_no_longer_than_its_limit() -> None:
     world = World(workers=6, may_probe=True, reports_in_probes=True, report_fields=("free_slots", "queue"))
-    r = world.request()
+    request = world.request()
     world.wait(40.0)
-    assert world.attempts(r) == 1
+    assert world.attempts(request) == 1
 
 
 def test_no_looks_where_a_probe_is_dear() -> None:
@@ -319,98 +321,101 @@
     assert not world.actions.probes
 
 
-def pair(**more: Any) -> tuple[World, World]:
-    """Two gateways that may tell each other, with workers of four slots whose reports were of idle ones."""
-    both = tuple(World(balancers=2, me=me, may_tell_peers=True, may_probe=True, reports_in_probes=True,
-                       report_fields=("free_slots", "queue", "inflight"), **more) for me in (0, 1))
-    for world in both:
+def two_schedulers(**more: Any) -> tuple[World, World]:
+    """Two schedulers that exchange counts; their workers of four slots have reported while idle."""
+    worlds = tuple(World(balancers=2, me=me, may_tell_peers=True, may_probe=True, reports_in_probes=True,
+                         report_fields=("free_slots", "queue", "inflight"), **more) for me in (0, 1))
+    for world in worlds:
         world.wait(5.0)
-        for w in world.balancer.fleet.workers:
-            world.balancer.on_probe_result(world.now, w, Status.OK, 1.0, (4.1, 0.0, 0.0))
-    talk(*both)
-    return both[0], both[1]
+        for worker in world.balancer.fleet.workers:
+            world.balancer.on_probe_result(world.now, worker, Status.OK, 1.0, (4.1, 0.0, 0.0))
+    exchange_messages(*worlds)
+    return worlds[0], worlds[1]
 
 
-def talk(*worlds: World) -> None:
-    """Carry what was told, in turn, until nothing more is."""
-    while any(w.actions.peer_messages for w in worlds):
+def exchange_messages(*worlds: World) -> None:
+    """Deliver messages in turn until none is pending."""
+    while any(world.actions.peer_messages for world in worlds):
         for me, world in enumerate(worlds):
-            told, world.actions.peer_messages = world.actions.peer_messages, []
-            for _, data in told:
+            messages, world.actions.peer_messages = world.actions.peer_messages, []
+            for _, data in messages:
                 worlds[1 - me].balancer.on_peer(worlds[1 - me].now, me, data)
 
 
-# Guards against trusting reports: they are of a moment up to two seconds ago, and two gateways that read
-# the same one sent to the same free slots.
+# Guards against relying on reports: they are up to two seconds old, and two schedulers that read the same one send
+# to the same free slots.
 def test_the_other_gateways_counts_say_who_is_free_at_once() -> None:
-    a, b = pair(workers=2)
+    first, second = two_schedulers(workers=2)
     for _ in range(4):
-        a.request(slots=1.0)
-    talk(a, b)
-    taken = Counter(w for _, w in a.actions.sends)
-    last = b.request(slots=4.0 - min(taken.values()))
-    assert b.worker_of(last) == min(taken, key=lambda w: taken[w])
+        first.request(slots=1.0)
+    exchange_messages(first, second)
+    taken = Counter(worker for _, worker in first.actions.sends)
+    large = second.request(slots=4.0 - min(taken.values()))
+    assert second.worker_of(large) == min(taken, key=lambda worker: taken[worker])
     for request in range(1, 5):
-        a.serve(request)
-    talk(a, b)
-    other = b.request(slots=4.0)
-    assert b.worker_of(other) != b.worker_of(last)
-    assert not a.actions.probes and not b.actions.probes
+        first.serve(request)
+    exchange_messages(first, second)
+    next_large = second.request(slots=4.0)
+    assert second.worker_of(next_large) != second.worker_of(large)
+    assert not first.actions.probes and not second.actions.probes
 
 
 def test_a_gateway_that_starts_is_told_all_and_one_that_is_silent_is_not_counted_on() -> None:
-    a, b = pair(workers=1)
+    first, second = two_schedulers(workers=1)
     for _ in range(3):
-        a.request()
-    talk(a, b)
-    b = World(workers=1, balancers=2, me=1, may_tell_peers=True, may_probe=True, reports_in_probes=True,
-              report_fields=("free_slots", "queue", "inflight"))
-    b.wait(5.0)
-    talk(a, b)
-    w = b.balancer.fleet.workers[1]
-    assert (b.balancer._known_slots(w, b.now), b.balancer._total_slots_out(w)) == (4, 3)
-    b.now += 5_000.0
-    assert b.balancer._known_slots(w, b.now) == 0
-    b.request()
-    assert b.actions.probes == [1]  # it looks again
+        first.request()
+    exchange_messages(first, second)
+    second = World(workers=1, balancers=2, me=1, may_tell_peers=True, may_probe=True, reports_in_probes=True,
+                   report_fields=("free_slots", "queue", "inflight"))
+    second.wait(5.0)
+    exchange_messages(first, second)
+    worker = second.balancer.fleet.workers[1]
+    assert (second.balancer._known_slots(worker, second.now), second.balancer._total_slots_out(worker)) == (4, 3)
+    second.now += 5_000.0
+    assert second.balancer._known_slots(worker, second.now) == 0
+    second.request()
+    assert second.actions.probes == [1]  # it probes again
 
 
 def test_who_says_full_is_left_alone_for_a_while_though_counts_say_that_it_is_free() -> None:
-    """A worker that drains says so at once, the list seconds later; it was asked eight times a second."""
-    a, _ = pair(workers=2)
-    r = a.request(slots=1.0)
-    drains = a.worker_of(r)
-    a.outcome(r, 0, Status.FULL, 5.0)
-    assert a.worker_of(r) != drains
-    assert drains not in {a.worker_of(a.request(slots=1.0)) for _ in range(6)}  # more than the other's slots
-    a.wait(300.0)
-    again = next(r for r in [a.request(slots=1.0) for _ in range(3)] if a.worker_of(r) == drains)
-    a.balancer.fleet.workers[drains].full_count = 9  # it may be back soon, however often it said so
-    a.outcome(again, 0, Status.FULL, 5.0)
-    assert a.now < a.balancer.fleet.workers[drains].full_until <= a.now + 900.0
+    """A draining worker refuses at once, seconds before the list shows it; jobs came eight times a second."""
+    scheduler, _ = two_schedulers(workers=2)
+    request = scheduler.request(slots=1.0)
+    drains = scheduler.worker_of(request)
+    scheduler.outcome(request, 0, Status.FULL, 5.0)
+    assert scheduler.worker_of(request) != drains
+    # Six jobs: more than the other worker has slots.
+    assert drains not in {scheduler.worker_of(scheduler.request(slots=1.0)) for _ in range(6)}
+    scheduler.wait(300.0)
+    again = next(request for request in [scheduler.request(slots=1.0) for _ in range(3)]
+                 if scheduler.worker_of(request) == drains)
+    scheduler.balancer.fleet.workers[drains].full_count = 9  # the back-off is bounded, as it may be back soon
+    scheduler.outcome(again, 0, Status.FULL, 5.0)
+    assert scheduler.now < scheduler.balancer.fleet.workers[drains].full_until <= scheduler.now + 900.0
 
 
 def test_of_a_cold_workers_slots_only_its_present_part_counts() -> None:
-    """Jobs in all the slots of a worker at a third of its capacity take three times as long."""
-    a, _ = pair(entries=[entry(1), entry(2, ready_at=1_000.0)], cold_from=0.3, cold_ms=1_000.0)
-    cold = a.balancer.fleet.workers[2]
-    assert [a.balancer._known_slots(cold, 1_000.0 + age) for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
-    job = a.balancer.jobs[a.request()]
+    """With jobs in all its slots, a worker at a third of its capacity takes three times as long for each."""
+    scheduler, _ = two_schedulers(entries=[entry(1), entry(2, ready_at=1_000.0)], cold_from=0.3, cold_ms=1_000.0)
+    cold = scheduler.balancer.fleet.workers[2]
+    assert [scheduler.balancer._known_slots(cold, 1_000.0 + age)
+            for age in (0.0, 300.0, 600.0, 1_200.0)] == [1, 2, 3, 4]
+    job = scheduler.balancer.jobs[scheduler.request()]
     cold.slots_out = 1.0
-    assert a.balancer._available(cold, job, 2_200.0)
-    assert not a.balancer._available(cold, job, 1_000.0)
+    assert scheduler.balancer._available(cold, job, 2_200.0)
+    assert not scheduler.balancer._available(cold, job, 1_000.0)
 
 
 def test_what_a_gateway_tells_late_or_garbled_is_dropped() -> None:
-    a, b = pair(workers=1)
-    a.request()
-    (_, first), *_ = a.actions.peer_messages
-    a.request()
-    talk(a, b)
-    w = b.balancer.fleet.workers[1]
-    for data in (first, b"", b"\xd0", first[:-1], b"\xd9" + first[1:], b"gh1" + first):
-        b.balancer.on_peer(b.now, 0, data)
-        assert b.balancer._total_slots_out(w) == 2
+    sender, receiver = two_schedulers(workers=1)
+    sender.request()
+    (_, overtaken), *_ = sender.actions.peer_messages
+    sender.request()
+    exchange_messages(sender, receiver)
+    worker = receiver.balancer.fleet.workers[1]
+    for data in (overtaken, b"", b"\xd0", overtaken[:-1], b"\xd9" + overtaken[1:], b"gh1" + overtaken):
+        receiver.balancer.on_peer(receiver.now, 0, data)
+        assert receiver.balancer._total_slots_out(worker) == 2
 
 
 def test_nothing_is_told_where_it_is_dear_or_not_allowed() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""What the decision module's text must keep to."""
+"""Rules on the source text of the decision modules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Names that only a deployment could bring, and the wire's own words, which end at the adapter.
+# Names that belong to single deployments, and words of the wire, which only the adapter uses.
 WORDS = (
     "ikeja",
     "detaxe",
@@ -52,7 +52,7 @@
 
 
 def test_the_module_has_no_clock_io_threads_or_globals() -> None:
-    # What schedulers tell each other is kept in modules of their own, which are held to the same.
+    # The exchange of counts between schedulers has modules of its own, to which the same rules apply.
     allowed = {"logic.py": {"random", "heapq", "math", ".", ".attempts", ".interface", ".occupancy.choice",
                             ".occupancy.exchange", ".profiles", ".quota", ".workers", ".zone_reach"},
                "attempts.py": {".interface", ".profiles", ".workers"},
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal events; the rules that one instance can keep must hold after each."""
+"""Random legal events: the rules that a single instance can keep hold after each of them."""
 
 from __future__ import annotations
 
@@ -34,31 +34,31 @@
 
 
 @dataclass
-class Truth:
-    """What the host knows of one request."""
+class RequestRecord:
+    """What the host knows of a request."""
 
     cls: ClassSettings
     ends: float
     sent: list[tuple[float, int]] = field(default_factory=list)
-    ended: dict[int, Status] = field(default_factory=dict)
-    over: bool = False
-    owed: bool = True
+    statuses: dict[int, Status] = field(default_factory=dict)
+    closed: bool = False
+    unanswered: bool = True
 
     def open(self) -> list[int]:
-        return [i for i in range(len(self.sent)) if i not in self.ended]
+        return [i for i in range(len(self.sent)) if i not in self.statuses]
 
-    def maybe(self) -> list[int]:
-        return [i for i in range(len(self.sent)) if self.ended.get(i) not in NEVER_RAN]
+    def possibly_run(self) -> list[int]:
+        return [i for i in range(len(self.sent)) if self.statuses.get(i) not in NEVER_RAN]
 
 
-class Judge(Recorder):
-    """Carries out actions and holds them against the rules."""
+class RuleChecker(Recorder):
+    """Carries out actions and checks them against the rules."""
 
-    def __init__(self, setting: Settings) -> None:
+    def __init__(self, config: Settings) -> None:
         super().__init__()
-        self.setting = setting
+        self.settings = config
         self.now = 0.0
-        self.requests: dict[int, Truth] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.listed: dict[int, ListedWorker] = {}
         self.due: list[float] = []
 
@@ -71,42 +71,43 @@
         )
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
-        t = self.requests[request]
-        assert not t.over, "sent after the end"
-        assert worker in self.listed, "sent to a worker that drains, is gone or was never listed"
-        assert len(t.sent) < self.setting.max_attempts
-        assert len(t.open()) < (2 if self.setting.second_copies else 1)
-        maybe = t.maybe()
-        if t.cls.effect == Effect.UNSAFE:
+        record = self.requests[request]
+        assert not record.closed, "sent after the final answer"
+        assert worker in self.listed, "sent to a worker that is draining, gone or was never listed"
+        assert len(record.sent) < self.settings.max_attempts
+        assert len(record.open()) < (2 if self.settings.second_copies else 1)
+        maybe = record.possibly_run()
+        if record.cls.effect == Effect.UNSAFE:
             assert not maybe, "an unsafe request was sent again"
-        if t.cls.effect == Effect.KEYED and maybe:
-            first = min(t.sent[i][0] for i in maybe)
-            assert self.now - first < t.cls.window_ms
-            assert all(self.same_group(t.cls, t.sent[i][1], worker) for i in maybe)
-        t.sent.append((self.now, worker))
+        if record.cls.effect == Effect.KEYED and maybe:
+            first = min(record.sent[i][0] for i in maybe)
+            assert self.now - first < record.cls.window_ms
+            assert all(self.same_group(record.cls, record.sent[i][1], worker) for i in maybe)
+        record.sent.append((self.now, worker))
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
-        t = self.requests[request]
-        assert not t.over and t.owed
-        if t.maybe():
-            assert t.cls.effect == Effect.SAFE or (t.cls.effect == Effect.KEYED and t.cls.group == Group.ALL)
-        t.over, t.owed = True, False
+        record = self.requests[request]
+        assert not record.closed and record.unanswered
+        if record.possibly_run():
+            assert record.cls.effect == Effect.SAFE or (
+                record.cls.effect == Effect.KEYED and record.cls.group == Group.ALL)
+        record.closed, record.unanswered = True, False
 
     def fail(self, request: int) -> None:
-        t = self.requests[request]
-        assert not t.over and t.owed
-        t.over, t.owed = True, False
+        record = self.requests[request]
+        assert not record.closed and record.unanswered
+        record.closed, record.unanswered = True, False
 
     def cancel(self, request: int, attempt: int) -> None:
-        t = self.requests[request]
-        assert attempt < len(t.sent)
+        record = self.requests[request]
+        assert attempt < len(record.sent)
 
     def set_timer(self, delay_ms: float, token: int) -> None:
         assert delay_ms >= 0
         self.due.append(self.now + delay_ms)
 
     def watch(self, on: bool) -> None:
-        assert self.setting.must_ask
+        assert self.settings.must_ask
 
 
 STEPS = st.lists(
@@ -147,7 +148,7 @@
     steps: list[tuple[str, int, int]], seed: int, copies: bool, starts: bool, ask: bool, looks: bool,
     told: bool
 ) -> None:
-    setting = Settings(
+    config = Settings(
         classes=CLASSES,
         zones=2,
         kinds=2,
@@ -162,90 +163,97 @@
         balancers=3,
         may_tell_peers=told,
     )
-    judge = Judge(setting)
-    judge.now = 500.0
-    b = Balancer(judge.now, setting, seed, judge)
-    judge.listed = {e.worker: e for e in ENTRIES}
-    b.on_workers(judge.now, ListKind.CACHED, ENTRIES)
+    checker = RuleChecker(config)
+    checker.now = 500.0
+    balancer = Balancer(checker.now, config, seed, checker)
+    checker.listed = {listed_entry.worker: listed_entry for listed_entry in ENTRIES}
+    balancer.on_workers(checker.now, ListKind.CACHED, ENTRIES)
     count = 0
 
-    def until(when: float) -> None:
-        while judge.due and min(judge.due) <= when:
-            due = min(judge.due)
-            judge.due.remove(due)
-            judge.now = max(judge.now, due)
-            b.on_timer(judge.now, 1)
-            close()
-        judge.now = max(judge.now, when)
-        close()
-
-    def close() -> None:
-        for t in judge.requests.values():
-            assert not t.owed or judge.now <= t.ends, "a request was not answered in time"
-
-    def outcome(rid: int, attempt: int, status: Status, report: tuple[float, ...]) -> None:
-        t = judge.requests[rid]
-        t.ended[attempt] = status
-        if status == Status.OK and t.owed:
-            t.over, t.owed = True, False
-        b.on_outcome(judge.now, rid, attempt, status, judge.now - t.sent[attempt][0], t.over, report)
-
-    for what, x, y in steps:
-        live = [(r, i) for r, t in judge.requests.items() for i in t.open()]
-        if what == "request":
+    def advance_to(when: float) -> None:
+        while checker.due and min(checker.due) <= when:
+            due = min(checker.due)
+            checker.due.remove(due)
+            checker.now = max(checker.now, due)
+            balancer.on_timer(checker.now, 1)
+            check_deadlines()
+        checker.now = max(checker.now, when)
+        check_deadlines()
+
+    def check_deadlines() -> None:
+        for record in checker.requests.values():
+            assert not record.unanswered or checker.now <= record.ends, "a request was not answered in time"
+
+    def outcome(request: int, attempt: int, status: Status, report: tuple[float, ...]) -> None:
+        record = checker.requests[request]
+        record.statuses[attempt] = status
+        if status == Status.OK and record.unanswered:
+            record.closed, record.unanswered = True, False
+        balancer.on_outcome(checker.now, request, attempt, status, checker.now - record.sent[attempt][0],
+                            record.closed, report)
+
+    for event, index, variant in steps:
+        open_attempts = [(request, attempt) for request, record in checker.requests.items()
+                         for attempt in record.open()]
+        if event == "request":
             count += 1
-            c = x % len(CLASSES)
-            left = CLASSES[c].deadline_ms * (1.0, 0.7, 0.2)[y % 3]
-            judge.requests[count] = Truth(CLASSES[c], judge.now + left)
-            b.on_request(
-                judge.now,
-                Request(count, c, left, hint_ms=float(y % 2 * x % 900), slots=1.0 + y % 3, key=y % 5),
+            c = index % len(CLASSES)
+            left = CLASSES[c].deadline_ms * (1.0, 0.7, 0.2)[variant % 3]
+            checker.requests[count] = RequestRecord(CLASSES[c], checker.now + left)
+            balancer.on_request(
+                checker.now,
+                Request(count, c, left, hint_ms=float(variant % 2 * index % 900), slots=1.0 + variant % 3,
+                        key=variant % 5),
             )
-        elif what == "outcome" and live:
-            rid, i = live[x % len(live)]
-            outcome(rid, i, list(Status)[y % len(Status)], (float(y % 4), float(x % 9)) if x % 2 else ())
-        elif what == "note" and live:
-            rid, i = live[x % len(live)]
-            (b.on_started(judge.now, rid, i) if y % 2 else b.on_progress(judge.now, rid, i, 0.5))
-        elif what == "list":
-            e = ENTRIES[x % len(ENTRIES)]
-            state = y % 3
-            fresh = e._replace(state=state, ready_at_ms=judge.now if y % 2 else 0.0)
+        elif event == "outcome" and open_attempts:
+            request, attempt = open_attempts[index % len(open_attempts)]
+            outcome(request, attempt, list(Status)[variant % len(Status)],
+                    (float(variant % 4), float(index % 9)) if index % 2 else ())
+        elif event == "note" and open_attempts:
+            request, attempt = open_attempts[index % len(open_attempts)]
+            (balancer.on_started(checker.now, request, attempt) if variant % 2
+             else balancer.on_progress(checker.now, request, attempt, 0.5))
+        elif event == "list":
+            listed_entry = ENTRIES[index % len(ENTRIES)]
+            state = variant % 3
+            fresh = listed_entry._replace(state=state, ready_at_ms=checker.now if variant % 2 else 0.0)
             if state == 1:
-                judge.listed[e.worker] = fresh
+                checker.listed[listed_entry.worker] = fresh
             else:
-                judge.listed.pop(e.worker, None)
-            if ask and x % 4 == 0:
-                b.on_workers(judge.now, ListKind.FAILED, [])
-            b.on_workers(judge.now, ListKind.CHANGES, [fresh])
-        elif what == "time":
-            until(judge.now + y % 700)
-        elif what == "gone" and judge.requests:
-            rid = 1 + x % count
-            t = judge.requests[rid]
-            if t.owed:
-                t.over, t.owed = True, False
-                b.on_client_gone(judge.now, rid)
-        elif what == "probe" and judge.probes:
-            w = judge.probes.pop(x % len(judge.probes))
-            b.on_probe_result(judge.now, w, Status.OK if y % 4 else Status.TIMEOUT, 1.0, (float(y % 3), 0.0))
-        elif what == "noise":
-            b.on_outcome(judge.now, 10**6 + x, y % 4, Status.OK, 1.0, False, ())
-            b.on_timer(judge.now, x)
-            b.on_peer(judge.now, x % 3, struct.pack(">BBHB", 0xD0 | x % 5, x % 256, 1 + x % 6, x % 9))
-    for rid, t in list(judge.requests.items()):
-        for i in t.open():
-            if x_ran(rid, i):
-                outcome(rid, i, Status.TIMEOUT, ())
-    until(judge.now + 30_000.0)
-    for rid, t in list(judge.requests.items()):
-        while t.open():
-            outcome(rid, t.open()[0], Status.CANCELLED, ())
-    until(judge.now + 30_000.0)
-    assert not any(t.owed for t in judge.requests.values())
-    assert not b.jobs, "something is kept of requests that are over"
-
-
-def x_ran(rid: int, attempt: int) -> bool:
-    """Some attempts end before the clients' patience does, some never answer."""
-    return (rid + attempt) % 2 == 0
+                checker.listed.pop(listed_entry.worker, None)
+            if ask and index % 4 == 0:
+                balancer.on_workers(checker.now, ListKind.FAILED, [])
+            balancer.on_workers(checker.now, ListKind.CHANGES, [fresh])
+        elif event == "time":
+            advance_to(checker.now + variant % 700)
+        elif event == "gone" and checker.requests:
+            request = 1 + index % count
+            record = checker.requests[request]
+            if record.unanswered:
+                record.closed, record.unanswered = True, False
+                balancer.on_client_gone(checker.now, request)
+        elif event == "probe" and checker.probes:
+            worker = checker.probes.pop(index % len(checker.probes))
+            balancer.on_probe_result(checker.now, worker, Status.OK if variant % 4 else Status.TIMEOUT, 1.0,
+                                     (float(variant % 3), 0.0))
+        elif event == "noise":
+            balancer.on_outcome(checker.now, 10**6 + index, variant % 4, Status.OK, 1.0, False, ())
+            balancer.on_timer(checker.now, index)
+            balancer.on_peer(checker.now, index % 3,
+                             struct.pack(">BBHB", 0xD0 | index % 5, index % 256, 1 + index % 6, index % 9))
+    for request, record in list(checker.requests.items()):
+        for attempt in record.open():
+            if ends_before_deadline(request, attempt):
+                outcome(request, attempt, Status.TIMEOUT, ())
+    advance_to(checker.now + 30_000.0)
+    for request, record in list(checker.requests.items()):
+        while record.open():
+            outcome(request, record.open()[0], Status.CANCELLED, ())
+    advance_to(checker.now + 30_000.0)
+    assert not any(record.unanswered for record in checker.requests.values())
+    assert not balancer.jobs, "state is left of requests that have ended"
+
+
+def ends_before_deadline(request: int, attempt: int) -> bool:
+    """Whether an attempt ends before its client gives up; the others never answer."""
+    return (request + attempt) % 2 == 0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""The rules of coming back: trust by age, origin and epoch; paced joining under a fleet-wide bound."""
+"""Recovery rules: trust by age, origin and epoch; paced starts within a fleet-wide bound; slow start."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 
 @given(pieces, st.floats(0, 2e5), st.integers(1, 3))
 def test_weight_is_nothing_for_an_ended_epoch_and_advice_for_what_was_restored(
-        piece: Observation, now: float, epoch: int) -> None:
-    w = weight(piece, now, epoch, AGES)
-    assert 0.0 <= w <= 1.0
-    if piece.epoch != epoch or now - piece.observed_ms >= AGES.limit(piece.origin):
-        assert w == 0.0
-    if piece.origin == Origin.RESTORED:
-        assert w <= AGES.advice_weight
+        observation: Observation, now: float, epoch: int) -> None:
+    observed_weight = weight(observation, now, epoch, AGES)
+    assert 0.0 <= observed_weight <= 1.0
+    if observation.epoch != epoch or now - observation.observed_ms >= AGES.limit(observation.origin):
+        assert observed_weight == 0.0
+    if observation.origin == Origin.RESTORED:
+        assert observed_weight <= AGES.advice_weight
 
 
 @given(pieces, st.floats(0, 1e5), st.floats(0, 1e5))
-def test_weight_never_grows_with_age(piece: Observation, a: float, b: float) -> None:
-    early, late = sorted((piece.observed_ms + a, piece.observed_ms + b))
-    assert weight(piece, late, piece.epoch, AGES) <= weight(piece, early, piece.epoch, AGES)
+def test_weight_never_grows_with_age(observation: Observation, a: float, b: float) -> None:
+    early, late = sorted((observation.observed_ms + a, observation.observed_ms + b))
+    assert (weight(observation, late, observation.epoch, AGES)
+            <= weight(observation, early, observation.epoch, AGES))
 
 
 @given(st.lists(pieces, max_size=8), st.floats(0, 2e5), st.integers(1, 3), st.floats(0, 1e4))
@@ -84,8 +85,8 @@
     assert jitter(b"n1", 7, 1000.0) == jitter(b"n1", 7, 1000.0)
     assert jitter(b"n1", 7, 1000.0) != jitter(b"n1", 8, 1000.0)
     waits = [jitter(b"n%d" % i, 7, 1000.0) for i in range(140)]
-    assert all(0 <= w < 1000.0 for w in waits)
-    tenths = [sum(1 for w in waits if k * 100 <= w < (k + 1) * 100) for k in range(10)]
+    assert all(0 <= observed_weight < 1000.0 for observed_weight in waits)
+    tenths = [sum(1 for observed_weight in waits if k * 100 <= observed_weight < (k + 1) * 100) for k in range(10)]
     assert max(tenths) < 3 * 14, tenths
 
 
@@ -97,7 +98,7 @@
     budget = Budget(per_s, fleet, burst)
     members = [Pacer(budget, 100.0, b"m%d" % i, seed) for i in range(fleet)]
     sent: list[float] = []
-    for at, who, times in sorted(asks):  # a member that wants many at once asks many times at one moment
+    for at, who, times in sorted(asks):  # a member that wants several at once asks as many times
         member = members[who % fleet]
         sent += [at for _ in range(times) if member.take(at)]
     for i, start in enumerate(sent):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules and what guards them."""
+"""Rules on drained and gone workers, repeats, deadlines and cold workers."""
 
 from __future__ import annotations
 
@@ -49,26 +49,26 @@
 def test_unsafe_is_sent_again_only_after_proof_that_it_never_ran() -> None:
     for status in (Status.FULL, Status.CONNECT_FAILED):
         world = World(classes=(UNSAFE,))
-        r = world.request()
-        world.outcome(r, 0, status, 1.0)
-        assert world.attempts(r) == 2
+        request = world.request()
+        world.outcome(request, 0, status, 1.0)
+        assert world.attempts(request) == 2
     for status in (Status.ERROR, Status.RESET, Status.TIMEOUT):
         world = World(classes=(UNSAFE,))
-        r = world.request()
-        world.outcome(r, 0, status, 1.0)
-        assert world.attempts(r) == 1
-        assert world.actions.failed == [r]
+        request = world.request()
+        world.outcome(request, 0, status, 1.0)
+        assert world.attempts(request) == 1
+        assert world.actions.failed == [request]
         assert not world.actions.refused
 
 
 def test_unsafe_in_doubt_waits_for_its_worker_and_is_failed_in_time() -> None:
     world = World(classes=(UNSAFE,))
-    r = world.request()
+    request = world.request()
     world.wait(4960.0)
     assert not world.actions.failed
     world.wait(60.0)
-    assert world.actions.failed == [r]
-    assert world.attempts(r) == 1
+    assert world.actions.failed == [request]
+    assert world.attempts(request) == 1
 
 
 def test_keyed_work_is_repeated_only_in_its_group() -> None:
@@ -88,31 +88,31 @@
                     entry(4, zone=1, cell=1),
                 ],
             )
-            r = world.request()
-            first = world.worker_of(r)
-            world.outcome(r, 0, Status.ERROR, 1.0)
+            request = world.request()
+            first = world.worker_of(request)
+            world.outcome(request, 0, Status.ERROR, 1.0)
             group_of = {1: allowed, 2: {1, 2} if group == Group.ZONE else {2, 4}}
             if first in group_of:
-                assert world.worker_of(r) in group_of[first]
-                world.outcome(r, 1, Status.ERROR, 1.0)
-                assert not world.actions.refused  # a refusal would not be true outside the whole group
-                assert world.actions.failed == [r]
+                assert world.worker_of(request) in group_of[first]
+                world.outcome(request, 1, Status.ERROR, 1.0)
+                assert not world.actions.refused  # untrue: a retry may reach another group
+                assert world.actions.failed == [request]
 
 
 def test_keyed_work_is_not_repeated_past_its_window() -> None:
     world = World(classes=(KEYED,))
-    r = world.request()
+    request = world.request()
     world.wait(4100.0)
-    world.outcome(r, 0, Status.RESET, 4100.0)
-    assert world.attempts(r) == 1
+    world.outcome(request, 0, Status.RESET, 4100.0)
+    assert world.attempts(request) == 1
 
 
 def test_every_request_is_answered_by_its_deadline() -> None:
     for cls in (SAFE, UNSAFE, KEYED):
         world = World(classes=(cls,))
-        r = world.request()
+        request = world.request()
         world.wait(cls.deadline_ms + 1.0)
-        assert world.actions.refused + world.actions.failed == [r]
+        assert world.actions.refused + world.actions.failed == [request]
         sends = len(world.actions.sends)
         world.wait(20_000.0)
         assert len(world.actions.sends) == sends
@@ -121,21 +121,21 @@
 def test_with_no_worker_a_request_is_refused_at_once() -> None:
     world = World(workers=1)
     world.balancer.on_workers(world.now, ListKind.FULL, [])
-    r = world.request()
-    assert world.actions.refused == [r]
+    request = world.request()
+    assert world.actions.refused == [request]
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
     world = World()
-    r = world.request()
-    world.serve(r)
+    request = world.request()
+    world.serve(request)
     before = (len(world.actions.sends), len(world.actions.failed), len(world.actions.refused))
-    world.outcome(r, 0, Status.OK)
-    world.outcome(r, 7, Status.OK)
+    world.outcome(request, 0, Status.OK)
+    world.outcome(request, 7, Status.OK)
     world.outcome(999, 0, Status.OK)
-    world.balancer.on_client_gone(world.now, r)
+    world.balancer.on_client_gone(world.now, request)
     world.balancer.on_started(world.now, 999, 0)
-    world.balancer.on_progress(world.now, r, 3, 0.5)
+    world.balancer.on_progress(world.now, request, 3, 0.5)
     world.balancer.on_timer(world.now, 12345)
     world.balancer.on_probe_result(world.now, 77, Status.OK, 1.0, ())
     world.balancer.on_peer(world.now, 1, b"\xff\x00")
@@ -145,16 +145,16 @@
 
 def test_a_client_that_left_is_owed_nothing_and_its_job_is_forgotten() -> None:
     world = World()
-    r = world.request()
-    world.balancer.on_client_gone(world.now, r)
-    assert world.actions.cancelled == [(r, 0)]
-    world.outcome(r, 0, Status.CANCELLED)
+    request = world.request()
+    world.balancer.on_client_gone(world.now, request)
+    assert world.actions.cancelled == [(request, 0)]
+    world.outcome(request, 0, Status.CANCELLED)
     assert not world.balancer.jobs
     assert not world.actions.failed and not world.actions.refused
 
 
 def test_cold_workers_get_their_part_of_what_warm_ones_carry() -> None:
-    """Ten gateways, one worker back cold: in 3 s it may get 3 x 0.15 of what it can do, all together."""
+    """Of ten schedulers together, a worker back cold may get within 3 s 3 x 0.15 of what it can do."""
     sent = warm = 0
     for seed in range(10):
         world = World(workers=10, seed=seed)
@@ -166,8 +166,8 @@
         for _ in range(150):
             world.serve(world.request())
             world.wait(20.0)
-        sent += sum(w == 1 for _, w in world.actions.sends)
-        warm += sum(w != 1 for _, w in world.actions.sends)
+        sent += sum(worker == 1 for _, worker in world.actions.sends)
+        warm += sum(worker != 1 for _, worker in world.actions.sends)
     assert 0 < sent < 0.45 * warm / 9
 
 
@@ -186,12 +186,12 @@
 
 
 def test_sends_in_a_jam_do_not_raise_the_cold_allowance() -> None:
-    """Refused and failed work is many times what a fleet can do; pacing by it pushed workers over."""
+    """Refused and failed work may be many times the capacity of a fleet; paced by it, cold workers failed."""
     world = World(workers=4)
     for _ in range(200):
-        r = world.request()
+        request = world.request()
         for i in range(world.balancer.settings.max_attempts):
-            world.outcome(r, i, Status.FULL, 1.0)
+            world.outcome(request, i, Status.FULL, 1.0)
         world.wait(10.0)
     assert world.balancer._served_per_ms(world.now) == 0.0
 
@@ -202,7 +202,7 @@
     world.wait(10_100.0)
     assert {world.worker_of(world.request()) for _ in range(4)} == {1, 2}
     world.balancer.on_workers(world.now, ListKind.CHANGES, [entry(1, ready_at=1000.0)])
-    assert world.balancer.fleet.workers[1].ready_at < 0  # the same start again is no restart
+    assert world.balancer.fleet.workers[1].ready_at < 0  # the same start time again is no restart
 
 
 def test_nothing_is_kept_of_what_is_gone() -> None:
@@ -231,17 +231,17 @@
 
 def test_what_cold_workers_serve_does_not_raise_the_pace() -> None:
     world = World(entries=[entry(1, ready_at=999.0)], cold_ms=60_000.0)
-    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
-    r = world.request()
-    world.serve(r)
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # it may send at once
+    request = world.request()
+    world.serve(request)
     assert world.balancer.served_cost == 0.0
 
 
 def test_a_heavy_job_is_not_given_to_a_cold_worker() -> None:
     world = World(entries=[entry(1, ready_at=999.0)])
     world.balancer.mean_cost = 1.0
-    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # it may send at once
     heavy = world.request(slots=8.0)
     assert world.actions.refused == [heavy]
-    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # its turn is now
+    world.balancer.fleet.workers[1].cold_allowance.phase = 1.0  # it may send at once
     assert world.attempts(world.request()) == 1
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When a worker started, on the scheduler's own clock, by stamps of a wall clock that may have been stepped."""
+"""Start times of workers on the scheduler's own clock, from stamps of a wall clock that may have been stepped."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 def test_who_joins_after_a_list_did_not_start_long_before_it() -> None:
     starts = StartTimes()
-    assert starts.to_own_clock("first", NOW - HOUR, NOW) == NOW - HOUR  # nothing contradicts it
+    assert starts.to_own_clock("first", NOW - HOUR, NOW) == NOW - HOUR  # no earlier answer contradicts it
     starts.record_answer(NOW)
     assert starts.to_own_clock("later", NOW - HOUR, NOW + 100.0) == NOW + 100.0
-    assert starts.to_own_clock("later", NOW - HOUR, NOW + 900.0) == NOW + 100.0  # told again: the same
+    assert starts.to_own_clock("later", NOW - HOUR, NOW + 900.0) == NOW + 100.0  # same stamp, same time
     assert starts.to_own_clock("first", NOW - HOUR, NOW + 900.0) == NOW - HOUR
 
 
@@ -43,4 +43,4 @@
     starts = StartTimes()
     assert starts.to_own_clock("w", NOW + HOUR, NOW) == NOW
     assert starts.to_own_clock("w", NOW + HOUR, NOW + 50.0) == NOW
-    assert starts.to_own_clock("w", NOW + HOUR + 1.0, NOW + 80.0) == NOW + 80.0  # it restarted
+    assert starts.to_own_clock("w", NOW + HOUR + 1.0, NOW + 80.0) == NOW + 80.0  # a new stamp: it restarted
--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -1,4 +1,4 @@
-"""When most workers of a generated deployment are replaced at once: no class starves, no cold one is rushed."""
+"""Most workers of a generated deployment are replaced at once: no class starves, no cold worker is overloaded."""
 
 from __future__ import annotations
 
@@ -19,82 +19,86 @@
 from .processes import job
 from .test_cold_budget import MEAN_MS, MULTIPLE, SHARES, START, WARM_MS, Server
 
-SHARE = 0.15  # of a class's requests that must be served where a worker had room for half of them and more
+SHARE = 0.15  # of a class's requests: must be served if a worker had room for at least half of them
 
 
 @dataclass(frozen=True)
-class Kind:
-    """One class of a deployment."""
+class ClassSpec:
+    """One class of a deployment; ``dedicated``: it runs on a kind of worker of its own."""
 
     worth: float
     work_ms: float
     slots: int
-    own_kind: bool
+    dedicated: bool
     effect: Effect
     weight: float
 
 
-CLASS = st.builds(Kind, st.sampled_from([1.0, 2.0, 5.0, 20.0]), st.sampled_from([150.0, 400.0, 900.0]),
+CLASS = st.builds(ClassSpec, st.sampled_from([1.0, 2.0, 5.0, 20.0]), st.sampled_from([150.0, 400.0, 900.0]),
                   st.sampled_from([1, 2, 4, 8]), st.booleans(), st.sampled_from([Effect.SAFE, Effect.UNSAFE]),
                   st.sampled_from([0.2, 1.0, 3.0]))
 
 
-def play(classes: list[Kind], zones: int, part: float, gateways: int, load: float, told: bool, seed: int
-         ) -> tuple[list[Tally], float]:
-    """Six seconds warm, then the change; what became of each class in the nine seconds after it."""
-    kinds = 1 + max((i + 1 for i, c in enumerate(classes) if c.own_kind), default=0)
-    many = max(12, 4 * kinds * zones)
-    machines = [Machine(i + 1, i % kinds, i // kinds % zones, 8, 0.0) for i in range(many)]
+def simulate(classes: list[ClassSpec], zones: int, replaced_share: float, schedulers: int, load: float,
+             peers_tell: bool, seed: int) -> tuple[list[Tally], float]:
+    """Six seconds with warm workers, then the replacement; tallies and peak load of the next nine seconds."""
+    kinds = 1 + max((i + 1 for i, spec in enumerate(classes) if spec.dedicated), default=0)
+    machine_count = max(12, 4 * kinds * zones)
+    machines = [Machine(i + 1, i % kinds, i // kinds % zones, 8, 0.0) for i in range(machine_count)]
     per_kind = len(machines) / kinds * 8  # slots of a kind
     rows, loads = [], []
-    for i, c in enumerate(classes):
-        rows.append(ClassSettings(aim_ms=2.0 * c.work_ms, deadline_ms=12.0 * c.work_ms, worth=c.worth,
-                                  late_worth=0.3, effect=c.effect, kind=i + 1 if c.own_kind else -1))
-        others = sum(x.weight for x in classes if not x.own_kind) or 1.0
-        share = 1.0 if c.own_kind else c.weight / others
-        loads.append(Load(load * per_kind * share / (c.work_ms / 1000.0 * c.slots), c.work_ms, c.slots))
-    s = Settings(classes=tuple(rows), kinds=kinds, zones=zones, balancers=gateways, tells_start=True,
-                 cold_ms=9000.0, cold_from=0.3, fall_ms=1000.0, max_attempts=4, second_copies=False,
-                 may_probe=True, reports_in_probes=True, report_fields=("free_slots", "queue", "inflight"),
-                 may_tell_peers=told, prices={"probe": 0.0018})
-    fleet = Fleet(s, loads, machines, gateways, seed)
+    for i, spec in enumerate(classes):
+        rows.append(ClassSettings(aim_ms=2.0 * spec.work_ms, deadline_ms=12.0 * spec.work_ms, worth=spec.worth,
+                                  late_worth=0.3, effect=spec.effect, kind=i + 1 if spec.dedicated else -1))
+        others = sum(x.weight for x in classes if not x.dedicated) or 1.0
+        share = 1.0 if spec.dedicated else spec.weight / others
+        loads.append(
+            Load(load * per_kind * share / (spec.work_ms / 1000.0 * spec.slots), spec.work_ms, spec.slots))
+    run_settings = Settings(
+        classes=tuple(rows), kinds=kinds, zones=zones, balancers=schedulers, tells_start=True,
+        cold_ms=9000.0, cold_from=0.3, fall_ms=1000.0, max_attempts=4, second_copies=False,
+        may_probe=True, reports_in_probes=True, report_fields=("free_slots", "queue", "inflight"),
+        may_tell_peers=peers_tell, prices={"probe": 0.0018})
+    fleet = Fleet(run_settings, loads, machines, schedulers, seed)
     fleet.run(6000.0)
     fleet.tallies = [Tally() for _ in loads]
-    fleet.replace(part)
+    fleet.replace(replaced_share)
     fleet.run(9000.0)
     return fleet.tallies, fleet.worst_rush()
 
 
-HEAVY = Kind(5.0, 400.0, 8, True, Effect.UNSAFE, 1.0)
-LIGHT = Kind(3.0, 150.0, 1, False, Effect.SAFE, 3.0)
+HEAVY = ClassSpec(5.0, 400.0, 8, True, Effect.UNSAFE, 1.0)
+LIGHT = ClassSpec(3.0, 150.0, 1, False, Effect.SAFE, 3.0)
 
 
 @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
 @example([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, 1)
-@example([LIGHT, Kind(2.0, 400.0, 4, False, Effect.UNSAFE, 1.0)], 2, 1.0, 12, 0.3, False, 2)
+@example([LIGHT, ClassSpec(2.0, 400.0, 4, False, Effect.UNSAFE, 1.0)], 2, 1.0, 12, 0.3, False, 2)
 @given(st.lists(CLASS, min_size=1, max_size=6), st.integers(1, 4), st.sampled_from([0.6, 0.9, 1.0]),
        st.sampled_from([1, 3, 12, 40]), st.sampled_from([0.15, 0.3, 0.5]), st.booleans(), st.integers(0, 999))
 def test_no_class_starves_while_workers_have_room_and_no_cold_worker_is_pushed_over(
-        classes: list[Kind], zones: int, part: float, gateways: int, load: float, told: bool, seed: int) -> None:
-    tallies, rush = play(classes, zones, part, gateways, load, told, seed)
-    assert rush <= 1.0
-    for c, t in zip(classes, tallies, strict=True):
-        if t.asked >= 20 and t.room >= 0.5 * t.asked:
-            assert t.served >= SHARE * t.asked, (c, t)
+        classes: list[ClassSpec], zones: int, replaced_share: float, schedulers: int, load: float,
+        peers_tell: bool, seed: int) -> None:
+    tallies, peak_load = simulate(classes, zones, replaced_share, schedulers, load, peers_tell, seed)
+    assert peak_load <= 1.0
+    for spec, tally in zip(classes, tallies, strict=True):
+        if tally.asked >= 20 and tally.room >= 0.5 * tally.asked:
+            assert tally.served >= SHARE * tally.asked, (spec, tally)
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_heavy_class_whose_whole_kind_is_replaced_goes_on(seed: int) -> None:
-    (light, heavy), rush = play([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, seed)
-    assert rush <= 1.0
+    (light, heavy), peak_load = simulate([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, seed)
+    assert peak_load <= 1.0
     assert heavy.served > 0.15 * heavy.asked
     assert light.served > 0.15 * light.asked
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_in_a_jam_cold_workers_get_about_half_of_what_they_bear(seed: int) -> None:
-    _, rush = play([LIGHT, Kind(2.0, 400.0, 4, False, Effect.UNSAFE, 1.0)], 1, 0.5, 12, 2.0, False, seed)
-    assert 0.0 < rush <= 0.7
+    _, peak_load = simulate(
+        [LIGHT, ClassSpec(2.0, 400.0, 4, False, Effect.UNSAFE, 1.0)], 1, 0.5, 12, 2.0, False, seed)
+    assert 0.0 < peak_load <= 0.7
 
 
 # --- real processes -----------------------------------------------------------------------------------
@@ -103,19 +107,19 @@
 SLOTS = 2
 WARM_S = 2.0  # before all workers are replaced
 COLD_S = 6.0
-LOAD = 0.5  # of what the warm workers bear
-TURNED_AWAY_MOST_S = 4.0  # all requests, without an attempt at a worker
+LOAD = 0.5  # of the warm workers' capacity
+MAX_REFUSING_ALL_S = 4.0  # refusing all requests without an attempt at a worker
 WITHIN_S = 40.0
 
 
 @dataclass
-class Heard:
-    """What clients of one scheduler saw: when each answer came, and whether it was a refusal."""
+class ClientLog:
+    """The answers that clients of one scheduler got: when each came, and whether it was a refusal."""
 
     answers: list[tuple[float, bool]] = field(default_factory=list)
 
     def longest_without_attempt_s(self, attempts: list[float], until: float) -> float:
-        """The longest time, from a refusal on, with nothing but refusals and no attempt."""
+        """The longest time, from a refusal on, with only refusals and no attempt."""
         signs = sorted([at for at, refused in self.answers if not refused] + attempts) + [until]
         longest = 0.0
         for at, refused in self.answers:
@@ -124,8 +128,8 @@
         return longest
 
 
-async def ask(to: Address, ident: str, cls: str, heard: Heard) -> None:
-    """One job, which must be answered."""
+async def ask(to: Address, ident: str, cls: str, heard: ClientLog) -> None:
+    """Send one job, which must be answered."""
     host, port = to
     status = await job(port, ident, cls, host)
     assert status
@@ -134,7 +138,7 @@
 
 @pytest.mark.parametrize("schedulers", [1, 3])
 def test_no_process_turns_away_all_for_4_s_without_trying_a_worker_when_all_are_replaced(schedulers: int) -> None:
-    """Schedulers that do not hear each other, and workers of which all are cold from one moment on."""
+    """Schedulers do not hear each other, and all workers become cold at the same moment."""
     async def run() -> None:
         rng = random.Random(5)
         servers = [Server(rng, SLOTS, 1.0, refuses=True) for _ in range(WORKERS)]
@@ -146,7 +150,7 @@
             "report": {"fields": ["x0", "inflight", "queue"], "via": "inline"},
             "familyInfo": {"reportX0": "free slots"},
         }, lambda a, b: False, 5)
-        heard = [Heard() for _ in range(schedulers)]
+        heard = [ClientLog() for _ in range(schedulers)]
         asked: list[asyncio.Task[None]] = []
         try:
             for worker in workers:
@@ -171,7 +175,7 @@
                 at += rng.expovariate(per_s)
                 await asyncio.sleep(max(0.0, at - time.monotonic()))
             await asyncio.gather(*asked)
-            until = time.monotonic()  # a refusal may come after the last request was sent
+            until = time.monotonic()  # not the last send: a refusal may come after that
         finally:
             for task in asked:
                 task.cancel()
@@ -185,6 +189,6 @@
             refused = sum(was for _, was in each.answers)
             print(f"scheduler {number}: {len(each.answers)} asked, {refused} refused, for {longest:.2f} s alone")
             assert len(each.answers) > 20
-            assert longest < TURNED_AWAY_MOST_S
+            assert longest < MAX_REFUSING_ALL_S
 
     processes.play(run(), WITHIN_S)
