--- a/gaphub/benchlink.py
+++ b/gaphub/benchlink.py
@@ -15,44 +15,44 @@
 class ActionWriter:
     """Writes the actions of one instance as records of the reply under construction."""
 
-    __slots__ = ("inst", "host")
+    __slots__ = ("instance", "host")
 
-    def __init__(self, inst: int, host: Host) -> None:
-        self.inst = inst
+    def __init__(self, instance: int, host: Host) -> None:
+        self.instance = instance
         self.host = host
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
         """Start an attempt."""
-        self.host.actions.append(wire.CALL_OUT.pack(65, self.inst, request, worker, timeout_ms))
+        self.host.actions.append(wire.CALL_OUT.pack(65, self.instance, request, worker, timeout_ms))
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         """Refuse a request."""
-        self.host.actions.append(wire.DECLINE.pack(66, self.inst, request, retry_after_ms))
+        self.host.actions.append(wire.DECLINE.pack(66, self.instance, request, retry_after_ms))
 
     def fail(self, request: int) -> None:
         """Fail a request."""
-        self.host.actions.append(wire.LOSE.pack(67, self.inst, request))
+        self.host.actions.append(wire.LOSE.pack(67, self.instance, request))
 
     def cancel(self, request: int, attempt: int) -> None:
         """Cancel an attempt."""
-        self.host.actions.append(wire.RETRACT.pack(68, self.inst, request, attempt))
+        self.host.actions.append(wire.RETRACT.pack(68, self.instance, request, attempt))
 
     def set_timer(self, delay_ms: float, token: int) -> None:
         """Schedule a timer event."""
-        self.host.actions.append(wire.SET_ALARM.pack(69, self.inst, delay_ms, token))
+        self.host.actions.append(wire.SET_ALARM.pack(69, self.instance, delay_ms, token))
 
     def probe(self, worker: int) -> None:
         """Probe a worker."""
-        self.host.actions.append(wire.HEALTH_CHECK.pack(70, self.inst, worker))
+        self.host.actions.append(wire.HEALTH_CHECK.pack(70, self.instance, worker))
 
     def close_idle(self, worker: int) -> None:
         """Close idle connections to a worker."""
-        self.host.actions.append(wire.FREE_LINKS.pack(71, self.inst, worker))
+        self.host.actions.append(wire.FREE_LINKS.pack(71, self.instance, worker))
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a message to one peer; -1: to all."""
         offset = self.host.put_tail(data)
-        self.host.actions.append(wire.WRITE_PEER.pack(72, self.inst, peer & 0xFFFF, offset, len(data)))
+        self.host.actions.append(wire.WRITE_PEER.pack(72, self.instance, peer & 0xFFFF, offset, len(data)))
 
     def log(self, text: str) -> None:
         """Add a line to the simulator's report."""
@@ -64,15 +64,15 @@
 
     def _text(self, layout: Any, code: int, text: str) -> None:
         data = text.encode()
-        self.host.actions.append(layout.pack(code, self.inst, self.host.put_tail(data), len(data)))
+        self.host.actions.append(layout.pack(code, self.instance, self.host.put_tail(data), len(data)))
 
     def watch(self, on: bool) -> None:
         """Start or stop watching the worker list for changes."""
-        self.host.actions.append(wire.KEEP_INFORMED.pack(75, self.inst, on))
+        self.host.actions.append(wire.KEEP_INFORMED.pack(75, self.instance, on))
 
     def fetch(self) -> None:
         """Request the full worker list."""
-        self.host.actions.append(wire.RELOAD.pack(76, self.inst))
+        self.host.actions.append(wire.RELOAD.pack(76, self.instance))
 
 
 class Host:
@@ -101,42 +101,42 @@
                 _, table, start, count = record
                 self.lists[table] = wire.parse_entries(frame.tail(start, count * wire.ENTRY.size))
                 continue
-            inst = record[1]
+            instance = record[1]
             if code == wire.ATTACH:
                 self._attach(frame, record)
             elif code == wire.DETACH:
-                self.instances.pop(inst, None)
-                self.writers.pop(inst, None)
+                self.instances.pop(instance, None)
+                self.writers.pop(instance, None)
             else:
-                balancer = self.instances.get(inst)
+                balancer = self.instances.get(instance)
                 if balancer is not None:
                     try:
                         self._deliver(balancer, frame, code, record)
                     except wire.WireError:
                         raise
                     except Exception as error:  # reported to the simulator as a FAULT
-                        self._fault(inst, code, error)
+                        self._fault(instance, code, error)
         return wire.reply(frame.number, self.actions, bytes(self.tail))
 
-    def _fault(self, inst: int, code: int, error: Exception) -> None:
+    def _fault(self, instance: int, code: int, error: Exception) -> None:
         trace = error.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
         where = f" at {trace.tb_frame.f_code.co_name}:{trace.tb_lineno}" if trace is not None else ""
         name = wire.EVENT_NAMES[code]
-        writer = self.writers.get(inst) or ActionWriter(inst, self)
+        writer = self.writers.get(instance) or ActionWriter(instance, self)
         writer.fault(f"{name}: {type(error).__name__}: {error}{where}")
-        self.instances.pop(inst, None)
+        self.instances.pop(instance, None)
 
     def _attach(self, frame: wire.Frame, record: tuple[Any, ...]) -> None:
-        _, inst, seed, start, size = record
-        writer = ActionWriter(inst, self)
-        self.writers[inst] = writer
+        _, instance, seed, start, size = record
+        writer = ActionWriter(instance, self)
+        self.writers[instance] = writer
         try:
             settings = parse_settings(frame.tail(start, size))
-            self.instances[inst] = Balancer(frame.now, settings, seed, writer)
+            self.instances[instance] = Balancer(frame.now, settings, seed, writer)
         except (ValueError, TypeError, KeyError) as error:
-            self._fault(inst, wire.ATTACH, error)
+            self._fault(instance, wire.ATTACH, error)
 
     def _deliver(self, balancer: Balancer, frame: wire.Frame, code: int, record: tuple[Any, ...]) -> None:
         now = frame.now
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -69,10 +69,11 @@
         self.peer_port: PeerPort | None = None
         self.log_request: Callable[[str], None] | None = None  # gets one line per finished request
         self._mailbox: asyncio.Queue[Callable[[], None]] = asyncio.Queue(MAILBOX_SIZE)
-        self._deferred: deque[Callable[[], None]] = deque()  # events for the Balancer, once its call returns
+        self._deferred: deque[Callable[[], None]] = deque()  # run once the current call on the Balancer returns
         self._timers: list[tuple[float, int, int]] = []
         self._deadlines: list[tuple[float, int]] = []
-        self._call_timeouts: list[tuple[float, int, Call]] = []  # where before the request's deadline
+        # Of calls that time out before the deadline of their request.
+        self._call_timeouts: list[tuple[float, int, Call]] = []
         self._serial = 0
         self._jobs: dict[int, Job] = {}
         self.balancer = Balancer(clock.now(), settings, seed, self)
@@ -101,7 +102,7 @@
         return self.destinations.count_eligible(class_index)
 
     def reject(self, job: Job, retry_after_ms: float = 1e9) -> Answer:
-        """Refuse a job that is not offered to the core, and count it."""
+        """Refuse a job that the core does not accept, and count it."""
         self.figures.ended(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(retry_after_ms)
 
@@ -226,7 +227,7 @@
         return job.fence is None or job.fence.holds()
 
     def _answer_fenced(self, job: Job) -> None:
-        """Answer a request at once whose fence no longer holds and that has no call in flight."""
+        """Give the final answer to a request whose fence no longer holds and that has no call in flight."""
         if not job.answered:
             self.counters.add("requests.fenced")
             retry_after_ms = job.fence.retry_after_ms if job.fence is not None else 0.0
@@ -400,8 +401,8 @@
             self._deferred.append(lambda: self.balancer.on_outcome(
                 now, request, call.index, Status.MOOT, 0.0, job.answered, ()))
             return
-        ends = min(job.deadline, now + timeout_ms) if timeout_ms > 0 else job.deadline
-        call = Call(job, len(job.calls), destination, now, ends, listed_at_send=destination.listed)
+        deadline = min(job.deadline, now + timeout_ms) if timeout_ms > 0 else job.deadline
+        call = Call(job, len(job.calls), destination, now, deadline, listed_at_send=destination.listed)
         job.calls.append(call)
         job.open_calls += 1
         self.counters.add("calls.sent")
@@ -412,9 +413,9 @@
             outcome = Outcome(Status.CONNECT_FAILED)
         if outcome is not None:
             self._deferred.append(partial(self.call_ended, call, outcome))
-        elif ends < job.deadline:
+        elif deadline < job.deadline:
             self._serial += 1
-            heappush(self._call_timeouts, (ends, self._serial, call))
+            heappush(self._call_timeouts, (deadline, self._serial, call))
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         """Final answer: refused; or failed, if an attempt may have run and a repeat could do harm."""
--- a/gaphub/service.py
+++ b/gaphub/service.py
@@ -18,7 +18,7 @@
 from .metrics import Counters
 from .tasks import Tasks
 
-LINGER_REASONS = ("handed over", "unready", "preempted")  # lease ends for which a successor is known
+LINGER_REASONS = ("handed over", "unready", "preempted")  # lease ends after which a successor takes over soon
 
 
 class LeaseFence:
