--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -239,4 +239,4 @@
 
     def _entry(self, e: ListedEntry) -> ListedDestination:
         return ListedDestination(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
-                      self.zones.get(e.zone, 0), e.started_ms)
+                                 self.zones.get(e.zone, 0), e.started_ms)
