--- a/gaphub/net/http/tunables.py
+++ b/gaphub/net/http/tunables.py
@@ -1,63 +1,70 @@
-"""Owns the tunables of the HTTP front: its times, sizes and shares, each with its unit.
+"""Time-outs, sizes and shares of the HTTP front, each with its unit.
 
-Whoever uses one reads it here at the time of use (``tunables.HOLD_S``), so that a test may set another value.
-It must never hold what an operator sets (that is in gaphub/config.py), nor anything that changes by itself.
+Code reads a value here at the time of use (``tunables.HOLD_S``), so that a test can replace it.
+Settings of the operator belong in ``gaphub/config.py``, and state that changes at run time does not belong here.
 """
 
 BODY_MOST = 64 * 1024
-AHEAD_MOST = 4 * BODY_MOST  # bytes that one client may have sent past its open request; it floods with more
-LINE_MOST = 512 * 1024  # a result of 64 KiB with every byte escaped
+# Bytes that a client may send past its open request. A client that sends more is treated as flooding.
+AHEAD_MOST = 4 * BODY_MOST
+LINE_MOST = 512 * 1024  # fits a result of 64 KiB with every byte escaped
 READ = 64 * 1024
-INBOUND_PART = 0.5  # of the descriptors, for clients; those with requests hold up to a third
-OUTBOUND_PART = 0.4  # and for workers
-BODIES_PART = 0.08  # of the memory, for bodies that are still coming
-RECEIVE = 32 * 1024  # bytes of a connection that wait to be read
-HAND_OVER_S = 0.1  # from giving new connections to a successor to the last look at the old listener
-# A good client may take 2 s to write a request; one that stops is owed an error or a close within 3 s.
-FRESH_S = 2.5  # from a connection's start to the end of its first good request
-# A connection makes room when it has been idle for so long before this process, or for so long by the kernel,
-# which counts its time in the accept queue; by Place, in session.py.
+INBOUND_PART = 0.5  # of the descriptors, for clients; those with open requests hold up to a third
+OUTBOUND_PART = 0.4  # of the descriptors, for workers
+BODIES_PART = 0.08  # of the memory limit, for request bodies that are still being received
+RECEIVE = 32 * 1024  # unread bytes per inbound connection
+# From directing new connections to the successor until the old listener stops accepting.
+HAND_OVER_S = 0.1
+# From connecting to the end of the first valid request. A well-behaved client may take 2 s to write a request;
+# one that stops halfway must get an error or a close within 3 s.
+FRESH_S = 2.5
+# An inbound connection may be evicted once it was idle for this long as seen by this process, or for this long as
+# seen by the kernel, which includes its time in the accept queue. Indexed by ``Place`` in session.py.
 YIELD_MS = (100.0, 250.0, 1000.0)
 YIELD_UNHEARD_MS = (500.0, 750.0, 1000.0)
-YIELD_PER_S = 2_000.0  # connections that make room, at most: a crowd that comes again must not take a whole core
-YIELD_PART = 1 / 2  # of the clients' connections, at one look
-REQUEST_S = 2.5  # from a later request's first byte to its last
-# Who goes on writing has a little longer: until so long after its last bytes, and so long in all.  A process that
-# is held up for 0.15 s then still ends within the 3 s that are owed.
+YIELD_PER_S = 2_000.0  # clients that reconnect after each eviction must not use up a whole core
+YIELD_PART = 1 / 2  # of the clients' connections, in one pass
+REQUEST_S = 2.5  # from the first byte of a later request to its last
+# A client that is still writing gets longer: this long after its last bytes, and up to this long in all. A process
+# that is held up for 0.15 s then still ends the request within 3 s.
 WRITING_S = 0.3
 WRITING_MOST_S = 2.8
-TURN_S = 0.25  # at the least from its turn, for one whose first byte came long before
-TAKE_S = 10.0  # for a client to take an answer
-LINGER_ERROR_S = 0.4  # after an error, for a client that still sends to read it
-LINGER_MOST = 256 * 1024  # bytes that are read and dropped meanwhile
-# A client that has sent AHEAD_MOST past its open request is read on, so that its leaving is seen behind what it
-# sent, but what comes is dropped: a chunk in so long, over all such clients together.
+TURN_S = 0.25  # minimum from a request's turn, if its first byte came long before
+TAKE_S = 10.0  # for a client to read an answer
+LINGER_ERROR_S = 0.4  # lets a client that is still sending read an error before the connection is closed
+LINGER_MOST = 256 * 1024  # read and discarded meanwhile
+# The input of a flooding client is discarded but still read, because its close can only be seen behind what it has
+# sent. All flooding clients together get one read per interval.
 DROP_S = 0.001
-HOLD_S = 0.004  # a job's last byte is held back for so long; a connection that is dead shows it by then
-# Workers may end a kept connection when the next request has come in whole, and then that may have run.
-# A never-twice job takes a new connection while more than this share of the kept ones ends so.
+# A request's last byte is held back for this long; by then a dead connection has shown itself.
+HOLD_S = 0.004
+# A worker may close a reused connection on receiving a whole request, which may then have run. A job that is not
+# safe to repeat gets a new connection while more than this share of reused connections ends like that.
 STALE = 0.03
-STALE_STEP = 0.05  # share; how fast the view of that share moves with each request on a kept connection
-# An attempt tells its worker so much less than is left, as its last byte goes out later; a head that has grown
-# older by then is written anew.
-TOLD_LESS_MS = 50.0  # beside HOLD_S
-LOCAL_AGAIN_S = 0.01  # after this machine has failed to make a connection
-LOCAL_MOST_S = 1.0  # for so long; what fails for longer is not a thing of a moment
-SEND = 8 * 1024  # bytes of a connection to a worker that wait in the kernel: what is past it, we know is not out
+STALE_STEP = 0.05  # weight of the newest request in the moving average of that share
+# Subtracted, with HOLD_S, from the time left that an attempt's X-Timeout states, because the last byte
+# leaves later than the head. If writing takes longer than that, the head is written anew.
+TOLD_LESS_MS = 50.0
+LOCAL_AGAIN_S = 0.01  # after a local failure to open a connection
+LOCAL_MOST_S = 1.0  # a local failure that lasts longer is not transient
+# Send buffer of a connection to a worker. Bytes that do not fit into it are known to be unsent.
+SEND = 8 * 1024
 PROBE_S = 0.2
 IDLE_PART = 0.5  # of the time after which the worker's machine closes an idle connection
-TAIL_S = 1.0  # for the end of an answer whose result is in
-TRAVEL_MS = 5.0  # what a client's clock may be ahead of ours when its first byte is read
-LINGER_S = 0.45  # after SIGTERM new connections go on coming for so long
-# From SIGTERM to SIGKILL is at least the longest deadline, counted as LEAVE_MOST_MS where it is longer, and
-# LEAVE_MORE_MS; who asks later than that second time must have an answer by then.
+TAIL_S = 1.0  # for the rest of an answer whose result was received
+# Subtracted from X-Timeout: how far a client's clock may be ahead when its first byte is read here.
+TRAVEL_MS = 5.0
+LINGER_S = 0.45  # new connections keep coming for this long after SIGTERM
+# SIGKILL follows SIGTERM no sooner than the longest deadline, of which at most LEAVE_MOST_MS counts, plus
+# LEAVE_MORE_MS. Requests received more than LEAVE_MORE_MS after SIGTERM must be answered by then.
 LEAVE_MOST_MS = 3000.0
 LEAVE_MORE_MS = 700.0
-LEAVE_SLACK_MS = 250.0  # an answer is out so long before
-LEAVE_LAST_MS = 100.0  # past that time, those who wait to be accepted then are taken in yet
-LEAVE_LEAST_MS = 1000.0  # with less time left nothing new is begun
-LEAVE_AIMS = 1.5  # of a never-twice class's aim; with less time left its job had better not begin
-LEAVE_RETURN_MS = 500.0
-IDLE_LEAVING_S = 0.3  # a connection idle for so long then is closed; a newer one may hold a request
-IDLE_LAST_S = 0.05  # and for so long when all must be answered
+LEAVE_SLACK_MS = 250.0  # answers are sent at least this long before SIGKILL
+LEAVE_LAST_MS = 100.0  # after the drain's end, for accepting connections that are still queued
+LEAVE_LEAST_MS = 1000.0  # connections are no longer kept open for new requests with less time left
+# In multiples of the class's latency target: with less time left a job that is not safe to repeat is refused.
+LEAVE_AIMS = 1.5
+LEAVE_RETURN_MS = 500.0  # sent to clients whose job is refused during the drain
+IDLE_LEAVING_S = 0.3  # idle connections older than this are closed; a newer one may be about to carry a request
+IDLE_LAST_S = 0.05  # the same once the drain's end has passed
 REAP_S = 1.0
