--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -28,7 +28,7 @@
 from .net.arrival import TimedLoop
 from .net.destinations import DestinationSet
 from .net.gearman import Gearman
-from .net.http import INBOUND_PART, Inbound, Outbound
+from .net.http import INBOUND_SOCKET_SHARE, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
 from .net.ops import Ops
 from .net.peers import Peers
@@ -139,7 +139,7 @@
         core.trace = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front take their descriptors from the clients' part.
-    part = 1.0 - gearman.SESSIONS_PART / INBOUND_PART if config.fronts.gearman.listen else 1.0
+    part = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
     inbound = Inbound(config, core, counters, part=part)
     destinations = DestinationSet(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -97,7 +97,7 @@
             if not isinstance(event, h11.Data):
                 continue
             *lines, rest = (rest + bytes(event.data)).split(b"\n")
-            if len(rest) > tunables.LINE_MOST:
+            if len(rest) > tunables.MAX_ANSWER_LINE_BYTES:
                 raise ConnectionLostError("line too long")
             for text in lines:
                 if text.strip():
--- a/gaphub/net/http/connection.py
+++ b/gaphub/net/http/connection.py
@@ -58,19 +58,20 @@
                       failed_locally: Callable[[], None] = lambda: None) -> Connection:
         """A new connection; ConnectionLostError if it does not come up in time.
 
-        Tries again while this machine itself is what fails, at most for ``LOCAL_MOST_S``, and then raises
+        Tries again while this machine itself is what fails, at most for ``LOCAL_RETRY_LIMIT_S``, and then raises
         LocalFailureError where the other side had no part in it.  Guards against holding a worker, or discovery,
         to account for a want of descriptors, ports or memory here.
 
         ``failed_locally`` is called at each failure of this machine.
         """
         loop = asyncio.get_running_loop()
-        ends = loop.time() + tunables.LOCAL_MOST_S
+        ends = loop.time() + tunables.LOCAL_RETRY_LIMIT_S
         while True:
             try:
                 async with timeout_after_poll(within_s):
                     reader, writer = await asyncio.open_connection(*to)
-                    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, tunables.SEND)
+                    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF,
+                                                               tunables.SEND_BUFFER_BYTES)
                     return cls(reader, writer)
             except TimeoutError as error:
                 raise ConnectionLostError(str(error)) from None
@@ -81,7 +82,7 @@
                 if loop.time() >= ends:
                     kind = LocalFailureError if error.errno in LOCAL_SHORTAGES else ConnectionLostError
                     raise kind(str(error)) from None
-            await asyncio.sleep(tunables.LOCAL_AGAIN_S)
+            await asyncio.sleep(tunables.LOCAL_RETRY_DELAY_S)
 
     @property
     def usable(self) -> bool:
@@ -114,8 +115,8 @@
         data = self._render(method, target, headers, body)
         await self._write(data[:-1])
         try:
-            async with asyncio.timeout(tunables.HOLD_S):
-                early = await self.reader.read(tunables.READ)
+            async with asyncio.timeout(tunables.LAST_BYTE_DELAY_S):
+                early = await self.reader.read(tunables.READ_CHUNK_BYTES)
         except TimeoutError:
             return data[-1:]
         except OSError:
@@ -158,7 +159,7 @@
             try:
                 event = self.http.next_event()
                 if event is h11.NEED_DATA:
-                    data = await self.reader.read(tunables.READ)
+                    data = await self.reader.read(tunables.READ_CHUNK_BYTES)
                     self.heard = self.heard or bool(data)
                     self.http.receive_data(data)
                     continue
@@ -168,7 +169,7 @@
                 raise ConnectionLostError("closed")
             return event
 
-    async def body(self, most: int = tunables.LINE_MOST) -> bytes:
+    async def body(self, most: int = tunables.MAX_ANSWER_LINE_BYTES) -> bytes:
         """The rest of an answer's body."""
         parts = bytearray()
         while not isinstance(event := await self.event(), h11.EndOfMessage):
--- a/gaphub/net/http/drain.py
+++ b/gaphub/net/http/drain.py
@@ -30,11 +30,11 @@
     @staticmethod
     def lasts_ms(longest_ms: float) -> float:
         """From SIGTERM until all must be answered; ``longest_ms``: the longest deadline of a class."""
-        return min(longest_ms, tunables.LEAVE_MOST_MS) + tunables.LEAVE_MORE_MS - tunables.LEAVE_SLACK_MS
+        return min(longest_ms, tunables.DRAIN_MAX_DEADLINE_MS) + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS
 
     def may_begin(self, job: Job, cls: ClassSettings) -> bool:
         """Whether there is time for a job; of one that came a while after SIGTERM, bound its time."""
-        if job.received_at > self.told_at + tunables.LEAVE_MORE_MS - tunables.LEAVE_SLACK_MS:
+        if job.received_at > self.told_at + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS:
             job.left_ms = min(job.left_ms, self.ends_at - job.received_at)
-            return cls.effect == Effect.SAFE or job.left_ms >= tunables.LEAVE_AIMS * cls.aim_ms
+            return cls.effect == Effect.SAFE or job.left_ms >= tunables.DRAIN_MIN_LEFT_AIMS * cls.aim_ms
         return True
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -45,13 +45,13 @@
     @property
     def frequent(self) -> bool:
         """Whether a job that must not run twice had better take a new connection."""
-        return self.share > tunables.STALE
+        return self.share > tunables.MAX_STALE_SHARE
 
     def saw(self, stale: bool) -> None:
         """Note how a kept connection was found: whether it ended under the next request, unheard."""
         if stale:
             self._counters.add("connections.stale")
-        self.share += (stale - self.share) * tunables.STALE_STEP
+        self.share += (stale - self.share) * tunables.STALE_SHARE_SMOOTHING
 
 
 class Exchange:
@@ -71,7 +71,7 @@
         self._connection: Connection | None = None
         self._kept = False  # whether the connection has served a request before
         # Than what is left, when the head is worded.
-        self._told_less_ms = tunables.TOLD_LESS_MS + tunables.HOLD_S * 1000.0
+        self._told_less_ms = tunables.TIMEOUT_HEADER_MARGIN_MS + tunables.LAST_BYTE_DELAY_S * 1000.0
 
     async def run(self) -> Outcome:
         """Write the request and read its answer.  Whatever raises: the request is owed an end."""
@@ -103,7 +103,7 @@
         if connection is None:
             return
         try:
-            async with asyncio.timeout(tunables.TAIL_S):
+            async with asyncio.timeout(tunables.ANSWER_END_TIMEOUT_S):
                 if connection.http.their_state is h11.SEND_BODY:
                     await connection.body()
         except (ConnectionLostError, TimeoutError):
@@ -165,7 +165,7 @@
         Guards against one that says half a line before its turn, and no more: the request would wait for it until
         its deadline, though nothing of it is out.
         """
-        async with asyncio.timeout(tunables.TAIL_S):
+        async with asyncio.timeout(tunables.ANSWER_END_TIMEOUT_S):
             early = await self._answers.outcome(self.call, connection)
         if early.status == Status.FULL:
             self.outcome.status = Status.FULL
--- a/gaphub/net/http/handler.py
+++ b/gaphub/net/http/handler.py
@@ -76,11 +76,11 @@
     @staticmethod
     async def _linger(session: ClientSession) -> None:
         """Let an error reach a client that still sends: a close with bytes unread would take it back."""
-        left = tunables.LINGER_MOST
+        left = tunables.MAX_ERROR_LINGER_BYTES
         session.waits = session.waits or 0.0  # from here on it may make room at once
         with suppress(OSError, TimeoutError):
             session.writer.write_eof()
-            async with asyncio.timeout(tunables.LINGER_ERROR_S):
+            async with asyncio.timeout(tunables.ERROR_LINGER_S):
                 while left > 0 and (data := await session.read()):
                     left -= len(data)
 
@@ -92,7 +92,7 @@
     def _keep_ahead(self, http: h11.Connection, session: ClientSession, data: bytes) -> bool:
         """Keep what a client sent past its open request, if there is room."""
         ahead = len(http.trailing_data[0]) + len(data)
-        if session.flooded or ahead > tunables.AHEAD_MOST or ahead - session.ahead > self.bodies:
+        if session.flooded or ahead > tunables.MAX_READ_AHEAD_BYTES or ahead - session.ahead > self.bodies:
             return False
         http.receive_data(data)
         self._account_for(session, ahead)
@@ -106,10 +106,12 @@
         queue or behind another request: that time is its own.
         """
         if not session.asked:
-            return self._longer_if_writing(session, session.since, session.since + tunables.FRESH_S * 1000.0)
+            return self._longer_if_writing(session, session.since,
+                                           session.since + tunables.FIRST_REQUEST_TIMEOUT_S * 1000.0)
         if not begun_at:
             return None
-        until = max(arrived_at + tunables.REQUEST_S * 1000.0, begun_at + tunables.TURN_S * 1000.0)
+        until = max(arrived_at + tunables.REQUEST_TIMEOUT_S * 1000.0,
+                    begun_at + tunables.PIPELINED_REQUEST_MIN_S * 1000.0)
         return self._longer_if_writing(session, arrived_at, until)
 
     @staticmethod
@@ -118,8 +120,8 @@
 
         Guards against ending a request that its client's machine, held up once, was about to finish.
         """
-        writing_until = session.protocol.heard_at + tunables.WRITING_S * 1000.0
-        return max(until, min(writing_until, began_at + tunables.WRITING_MOST_S * 1000.0))
+        writing_until = session.protocol.heard_at + tunables.SLOW_WRITER_GRACE_S * 1000.0
+        return max(until, min(writing_until, began_at + tunables.SLOW_WRITER_TIMEOUT_S * 1000.0))
 
     async def _read_until(self, session: ClientSession, until: float | None) -> bytes:
         """What comes by a time; TimeoutError past it, if nothing lies ready in the kernel then.
@@ -166,7 +168,7 @@
                 elif isinstance(event, h11.Data):
                     body += event.data
                     self.bodies -= len(event.data)
-                    if len(body) > tunables.BODY_MOST:
+                    if len(body) > tunables.MAX_BODY_BYTES:
                         raise BadRequestError(413, "body over 64 KiB")
                     if self.bodies < 0:
                         raise BadRequestError(503, "no room for bodies")
@@ -205,7 +207,7 @@
                     self.counters.add("requests.fenced")
                     future.set_result(self.core.turn_away(job, job.fence.return_ms if job.fence else 0.0))
                 elif not self.drain.may_begin(job, self.core.settings.classes[job.class_index]):
-                    future.set_result(self.core.turn_away(job, tunables.LEAVE_RETURN_MS))
+                    future.set_result(self.core.turn_away(job, tunables.DRAIN_RETRY_AFTER_MS))
                 elif not self.core.offer(job):
                     future.set_result(self.core.turn_away(job))
                 answer = await self._wait(job, future, http, session)
@@ -239,7 +241,7 @@
                     session.flooded = True
                     self._flooding += 1
                 if session.flooded:
-                    await asyncio.wait([future], timeout=tunables.DROP_S * self._flooding)
+                    await asyncio.wait([future], timeout=tunables.FLOOD_READ_INTERVAL_S * self._flooding)
                 read = asyncio.ensure_future(session.read())
         except asyncio.CancelledError:
             await self.core.post(lambda: self.core.gone(job))
@@ -273,7 +275,7 @@
             data += http.send(h11.Data(data=body)) or b""
         data += http.send(h11.EndOfMessage()) or b""
         session.writer.write(data)
-        async with asyncio.timeout(tunables.TAKE_S):
+        async with asyncio.timeout(tunables.ANSWER_WRITE_TIMEOUT_S):
             await session.writer.drain()
 
 
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -35,11 +35,11 @@
         self.counters = counters
         self.listen = listen or config.listen
         self.shared = config.admin is not None  # upgrades: two processes listen at once
-        self.room = max(1, int(config.limits.sockets * tunables.INBOUND_PART * part))
+        self.room = max(1, int(config.limits.sockets * tunables.INBOUND_SOCKET_SHARE * part))
         self.sessions: dict[int, ClientSession] = {}
         self.drain = Drain()
         self.handler = RequestHandler(core, counters, self.drain, fence,
-                                      int(config.limits.memory_mb * 1e6 * tunables.BODIES_PART * part))
+                                      int(config.limits.memory_mb * 1e6 * tunables.BODY_MEMORY_SHARE * part))
         self._serial = 0
         self._listener: socket.socket | None = None
         self._acceptor: Acceptor | None = None  # None: it listens no longer
@@ -60,7 +60,7 @@
         if self.shared:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         # Inherited by connections: bounds what one that sends without end may have in our memory.
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, tunables.RECEIVE)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, tunables.RECEIVE_BUFFER_BYTES)
         listener.bind(found[0][4])
         listener.listen(BACKLOG)
         # Guards against a crowd that connects and says nothing: it held the places of others, and a client whose
@@ -82,7 +82,7 @@
             self.drain.hasten(self._longest_deadline_ms())
         self._accepting.cancel()
         await asyncio.wait([self._accepting])
-        ends_at = self.drain.ends_at + tunables.LEAVE_LAST_MS
+        ends_at = self.drain.ends_at + tunables.DRAIN_LAST_ACCEPT_MS
         if left := await self._acceptor.finish(lambda: self.core.clock.now() > ends_at):
             self.counters.log("connections.left_waiting", f"{left} at the end")
         self._acceptor = self._listener = None
@@ -112,12 +112,12 @@
                 reuseport.give_all_to(self._listener, place)
                 # Guards against handshakes that have begun with this listener and end a moment later: on a busy
                 # machine the kernel finishes them aside, and a close before that resets the connection.
-                await asyncio.sleep(tunables.HAND_OVER_S)
+                await asyncio.sleep(tunables.HANDOVER_DELAY_S)
             await self._stop_accepting()
         else:
-            await asyncio.sleep(tunables.LINGER_S)
+            await asyncio.sleep(tunables.DRAIN_ACCEPT_S)
         while (successor and self.sessions or not (successor or others_serve())) \
-                and now() < self.drain.ends_at - tunables.LEAVE_LEAST_MS:
+                and now() < self.drain.ends_at - tunables.DRAIN_MIN_LEFT_MS:
             await asyncio.sleep(0.02)
             self.drain.hasten(self._longest_deadline_ms())
         self.drain.leaving = True
@@ -128,7 +128,7 @@
             while self.sessions or self._arriving or self.core.open_jobs:
                 self.drain.hasten(self._longest_deadline_ms())
                 if now() < self.drain.ends_at:
-                    self._close_resting(now() - tunables.IDLE_LEAVING_S * 1000.0)
+                    self._close_resting(now() - tunables.DRAIN_IDLE_S * 1000.0)
                 else:
                     await self._stop_accepting()
                     self._hurry()
@@ -149,7 +149,7 @@
         Guards against clients that come without end, as a crowd does: while there is one, the listener stayed
         open, and what came just before SIGKILL was taken and not answered.
         """
-        self._close_resting(self.core.clock.now() - tunables.IDLE_LAST_S * 1000.0)
+        self._close_resting(self.core.clock.now() - tunables.DRAIN_LAST_IDLE_S * 1000.0)
         for session in self.sessions.values():
             if session.halfway and session.waits is not None:
                 session.reader.set_exception(TimeoutError("the scheduler ends"))
@@ -198,7 +198,7 @@
         loop = asyncio.get_running_loop()
         since = self.core.clock.now() - since_connected_ms(sock)
         try:
-            reader = asyncio.StreamReader(limit=tunables.RECEIVE)
+            reader = asyncio.StreamReader(limit=tunables.RECEIVE_BUFFER_BYTES)
             protocol = SessionProtocol(reader, self.core.clock.now)
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, sock)
         except OSError:
@@ -235,9 +235,9 @@
 
         It counts the time since the last look, so that a slow pace of looks makes room for no fewer in a second.
         """
-        most = max(1, int(self.room * tunables.YIELD_PART))
+        most = max(1, int(self.room * tunables.MAX_EVICTION_SHARE))
         passed_s, self._made_room_at = (now - self._made_room_at) / 1000.0, now
-        return max(1, min(most, int(passed_s * tunables.YIELD_PER_S)))
+        return max(1, min(most, int(passed_s * tunables.MAX_EVICTIONS_PER_S)))
 
     def _yield(self, session: ClientSession, now: float) -> None:
         """Have a connection end to make room."""
@@ -258,7 +258,7 @@
             session.waits, session.asked, session.served = self.core.clock.now(), False, False
             writer.close()
             with suppress(OSError, TimeoutError, asyncio.CancelledError):
-                async with asyncio.timeout(tunables.TAKE_S):
+                async with asyncio.timeout(tunables.ANSWER_WRITE_TIMEOUT_S):
                     await writer.wait_closed()
             writer.transport.abort()
             del self.sessions[number]
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -29,8 +29,9 @@
         self.counters = counters
         self.service = f"{config.listen[0]}:{config.listen[1]}".encode()
         self._stale = StaleConnections(counters)
-        self.pools = Pools(core.clock, counters, int(config.limits.sockets * tunables.OUTBOUND_PART),
-                           config.conn_idle_ms * tunables.IDLE_PART, config.settings.connect_timeout_ms / 1000.0)
+        self.pools = Pools(core.clock, counters, int(config.limits.sockets * tunables.OUTBOUND_SOCKET_SHARE),
+                           config.conn_idle_ms * tunables.IDLE_TIMEOUT_SHARE,
+                           config.settings.connect_timeout_ms / 1000.0)
         self._answers = AnswerReader(core, counters, config.report_fields)
         self._prober = Prober(core, config.report_fields, self.service)
         self._tasks = Tasks(counters)
--- a/gaphub/net/http/pool.py
+++ b/gaphub/net/http/pool.py
@@ -105,7 +105,7 @@
     async def run(self) -> None:
         """Close idle connections well before the other side does."""
         while True:
-            await asyncio.sleep(tunables.REAP_S)
+            await asyncio.sleep(tunables.REAP_INTERVAL_S)
             self.close_idle(self.clock.now() - self.idle_ms)
 
     def closed(self) -> None:
--- a/gaphub/net/http/probe.py
+++ b/gaphub/net/http/probe.py
@@ -32,7 +32,7 @@
         status, report = Status.CONNECT_FAILED, ()
         connection: Connection | None = None
         try:
-            async with timeout_after_poll(tunables.PROBE_S):
+            async with timeout_after_poll(tunables.PROBE_TIMEOUT_S):
                 while connection is None:
                     status = Status.CONNECT_FAILED
                     connection = await pool.take()
--- a/gaphub/net/http/request.py
+++ b/gaphub/net/http/request.py
@@ -48,7 +48,7 @@
         if names.count(name) > 1:
             raise BadRequestError(400, f"{name.decode()} comes twice")
     if dict(event.headers).get(b"content-length", b"0").isdigit():
-        if int(dict(event.headers).get(b"content-length", b"0")) > tunables.BODY_MOST:
+        if int(dict(event.headers).get(b"content-length", b"0")) > tunables.MAX_BODY_BYTES:
             raise BadRequestError(413, "body over 64 KiB")
 
 
@@ -73,7 +73,7 @@
             if not re.fullmatch(r"\d{1,9}(\.\d{1,9})?", value):
                 raise BadRequestError(400, "X-Attrs")
             extras[name] = float(value)
-    return Job(ident.decode(), class_index, received_at, left_ms - tunables.TRAVEL_MS, reply, body,
+    return Job(ident.decode(), class_index, received_at, left_ms - tunables.TRANSIT_ALLOWANCE_MS, reply, body,
                event.method.decode(), event.target.decode(), parse_key(headers.get(b"cookie", b"")),
                extras["slots"] or 1.0, extras["memory"], headers.get(b"x-retried") == b"1",
                passed=passed_on(event))
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -69,7 +69,7 @@
 
 
 class Place(IntEnum):
-    """Among those that make room for newcomers, the first to go first; the index of ``tunables.YIELD_MS``."""
+    """Among those that make room for newcomers, the first to go first; index of ``tunables.EVICTION_IDLE_MS``."""
 
     SILENT = 0  # nothing has come
     BEGUN = 1  # a piece of a first request, or no request but a GET
@@ -100,7 +100,7 @@
 
     async def read(self) -> bytes:
         """What has come, as soon as anything has; empty at the end."""
-        data = await self.reader.read(tunables.READ)
+        data = await self.reader.read(tunables.READ_CHUNK_BYTES)
         self.taken += len(data)
         return data
 
@@ -151,12 +151,14 @@
         """
         if self.waits is None or self.yielded or self.unread:
             return None
-        if self.writer.transport.get_write_buffer_size() and now - self.waits < tunables.TAKE_S * 1000.0:
+        if (self.writer.transport.get_write_buffer_size()
+                and now - self.waits < tunables.ANSWER_WRITE_TIMEOUT_S * 1000.0):
             return None  # its answer is still being taken
         place, protocol = self.place, self.protocol
         since = max(self.waits, protocol.heard_at)  # who still writes goes after who says nothing
         seen_at = max(since, protocol.made_at, protocol.read_at)
-        if now - seen_at < tunables.YIELD_MS[place] and now - since < tunables.YIELD_UNHEARD_MS[place]:
+        if (now - seen_at < tunables.EVICTION_IDLE_MS[place]
+                and now - since < tunables.EVICTION_KERNEL_IDLE_MS[place]):
             return None
         return place, since
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -253,7 +253,7 @@
             if verb == "early":
                 verb, _, rest = rest.partition(" ")
             elif actor in "wx" and verb in ("send", "close"):
-                await asyncio.sleep(2 * http.HOLD_S)
+                await asyncio.sleep(2 * http.LAST_BYTE_DELAY_S)
             if verb in ("pieces", "half"):  # a message cut where it hurts; of it all, or its first half
                 await side.ready()
                 assert side.writer is not None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("name", LEAVES)
 def test_a_client_leaves(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "HOLD_S", 0.15)
+    monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
     limits = {**SETTINGS["limits"], "dialTimeout": 4000.0}
     play(ONE + LEAVES[name], settings={"limits": limits})
 
@@ -360,7 +360,7 @@
 
 
 def test_a_drain_after_the_first_byte_does_not_stop_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "HOLD_S", 0.3)
+    monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.3)
     play(ONE + """
         c send job vyuctovani r1 0123456789
         w expect POST .*012345678
@@ -536,8 +536,8 @@
 
 @pytest.mark.parametrize("name", SPOILT)
 def test_spoilt_answers(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "HOLD_S", 0.5)
-    monkeypatch.setattr(http, "TAIL_S", 0.1)
+    monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.5)
+    monkeypatch.setattr(http, "ANSWER_END_TIMEOUT_S", 0.1)
     play(ONE + SPOILT[name])
 
 
@@ -574,8 +574,8 @@
 
 @pytest.mark.parametrize("name", ANSWERS)
 def test_answers(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "HOLD_S", 0.15)
-    monkeypatch.setattr(http, "TAIL_S", 0.1)
+    monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
+    monkeypatch.setattr(http, "ANSWER_END_TIMEOUT_S", 0.1)
     play(ONE + ANSWERS[name])
 
 
@@ -583,7 +583,7 @@
 
 # Between two rounds of the reaper: the worker's machine has closed what has been idle for the settings' time.
 def test_a_connection_idle_for_the_settings_time_is_not_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "REAP_S", 60.0)
+    monkeypatch.setattr(http, "REAP_INTERVAL_S", 60.0)
     play(ONE + """
         c send job vyuctovani r1
         w expect r1
@@ -704,7 +704,7 @@
 
     monkeypatch.setattr(http.Inbound, "_take_in", noted)
     monkeypatch.setattr(http.SessionProtocol, "data_received", crossed)
-    monkeypatch.setattr(http, "YIELD_MS", (0.0, 0.0, 0.0))
+    monkeypatch.setattr(http, "EVICTION_IDLE_MS", (0.0, 0.0, 0.0))
     play(ONE + """
         c send job poloha r1
         w expect r1
@@ -722,8 +722,8 @@
 
 # c2's end shows that idle connections are being closed; c has waited longer, and its request is half here.
 def test_a_half_read_request_is_not_cut_off_by_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
-    monkeypatch.setattr(http, "FRESH_S", 4.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
+    monkeypatch.setattr(http, "FIRST_REQUEST_TIMEOUT_S", 4.0)
     play(ONE + """
         c send POST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r1\\r\\nX-Priority-Class: poloha\\r\\n
         c2 send
@@ -784,14 +784,14 @@
             cast.file = json.dumps(file).encode()
             cast.reload.asked.set()
             await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
-            assert left[0].ends_at - left[0].told_at == 600.0 + http.LEAVE_MORE_MS - http.LEAVE_SLACK_MS
+            assert left[0].ends_at - left[0].told_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
 
     asyncio.run(run())
 
 
 # A client connects just as the last of the others has gone: the kernel has taken it, nobody has read it.
 def test_who_connects_just_before_the_end_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     late: list[socket.socket] = []
 
     async def run() -> None:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -343,7 +343,7 @@
                             await asyncio.sleep(0.01)
                     session.halfway = False
                     client.setblocking(False)
-                    patch.setattr(tunables, "YIELD_MS", (0.0, 0.0, 0.0))
+                    patch.setattr(tunables, "EVICTION_IDLE_MS", (0.0, 0.0, 0.0))
                     if closer == "leaving":
                         inbounds[0]._close_resting(1e18)
                     else:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,7 +1,7 @@
 """A real process under a real limit of descriptors, while more idle clients than that come and stay.
 
-What a descriptor can be: a client's connection (``INBOUND_PART`` of the limit), one to a worker
-(``OUTBOUND_PART``), an operator's (a 32nd of it), discovery's, and about a dozen that every process has.
+What a descriptor can be: a client's connection (``INBOUND_SOCKET_SHARE`` of the limit), one to a worker
+(``OUTBOUND_SOCKET_SHARE``), an operator's (a 32nd of it), discovery's, and about a dozen that every process has.
 
 Once in some thirty plays the newcomer's job was refused (503) or had no answer in 5 s. The crowd comes all at
 once and overflowed the accept queue of 512 (the kernel counted 2,500 to 22,500 in a play), so the newcomer's
@@ -27,7 +27,7 @@
 from gaphub.lab.world import Workers
 from gaphub.metrics import Counters
 from gaphub.net.gearman import Gearman
-from gaphub.net.http import OUTBOUND_PART, Connection, Inbound, Pool, Pools
+from gaphub.net.http import OUTBOUND_SOCKET_SHARE, Connection, Inbound, Pool, Pools
 from gaphub.net.ops import Ops
 
 from .discovery import Discovery, Mood
@@ -121,7 +121,7 @@
         jobs.append(asyncio.create_task(job(listen, f"fill-{i}", "poloha")))
         await asyncio.sleep(0.004)
     served = (await asyncio.gather(*jobs)).count(200)
-    assert served > LIMIT * OUTBOUND_PART * 0.8, served
+    assert served > LIMIT * OUTBOUND_SOCKET_SHARE * 0.8, served
 
 
 @pytest.mark.parametrize("how", ["refuses", "is silent", "stays"])
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -227,7 +227,7 @@
 # Guards against never-twice jobs that fail, though it could have been known that they did not run.
 @pytest.mark.parametrize("name", DEAD)
 def test_dead_connections(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "HOLD_S", 0.15)
+    monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
     play("d expect index=41\n" + DEAD[name])
 
 
@@ -482,13 +482,13 @@
 
 @pytest.mark.parametrize("name", BAD_CLIENTS)
 def test_bad_clients(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "FRESH_S", 0.1)
-    monkeypatch.setattr(http, "REQUEST_S", 0.1)
+    monkeypatch.setattr(http, "FIRST_REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(http, "REQUEST_TIMEOUT_S", 0.1)
     play(BAD_CLIENTS[name])
 
 
 def test_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     play("""
         c send job vyuctovani r1
         w expect r1
@@ -508,7 +508,7 @@
 # Guards against seconds without any scheduler, when one is being restarted and the next is told to stop.
 def test_where_nobody_else_serves_connections_are_served_on_and_all_is_answered_in_time(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_AIMS", 4.0)  # more than there is time, so that r3 had better not begin
+    monkeypatch.setattr(http, "DRAIN_MIN_LEFT_AIMS", 4.0)  # more than the time left: r3 is refused
     play("""
         c send job vyuctovani r1
         w expect r1
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("number", ACCEPT_FAILS)
 def test_who_waits_at_a_listener_that_closes_is_taken_in_though_accepting_fails_for_a_moment(
         number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     accept, stop_accepting = socket.socket.accept, http.Inbound._stop_accepting
     fails: list[int] = []
     late: list[socket.socket] = []
@@ -191,7 +191,7 @@
 
 def test_a_local_failure_that_does_not_end_gets_a_refusal_and_is_no_fault_of_the_worker(
         fails: list[tuple[str, int]], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tunables, "LOCAL_MOST_S", 0.2, raising=False)
+    monkeypatch.setattr(tunables, "LOCAL_RETRY_LIMIT_S", 0.2, raising=False)
 
     async def run() -> None:
         async with Cast() as cast:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -59,7 +59,7 @@
 
 def test_one_that_is_told_to_stop_leaves_its_clients_to_a_peer_that_serves(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 3_600_000.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 3_600_000.0)
 
     async def run() -> None:
         a, b = pair()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -20,8 +20,8 @@
 from gaphub.core import Core
 from gaphub.lab.world import Agent, Workers
 from gaphub.messages import Answer, Ending, Job
-from gaphub.net.http import BODY_MOST, ClientSession, RequestHandler
-from gaphub.net.http.tunables import AHEAD_MOST
+from gaphub.net.http import MAX_BODY_BYTES, ClientSession, RequestHandler
+from gaphub.net.http.tunables import MAX_READ_AHEAD_BYTES
 
 from .processes import Process, running
 from .scenario import Cast, free_port
@@ -174,5 +174,5 @@
             writer.close()
 
     asyncio.run(run())
-    assert max(kept) > BODY_MOST  # else nothing lay ahead
-    assert max(kept) <= AHEAD_MOST
+    assert max(kept) > MAX_BODY_BYTES  # else nothing lay ahead
+    assert max(kept) <= MAX_READ_AHEAD_BYTES
