--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -140,7 +140,7 @@
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front take their descriptors from the clients' part.
     part = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
-    inbound = Inbound(config, core, counters, part=part)
+    inbound = Inbound(config, core, counters, socket_share=part)
     destinations = DestinationSet(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
@@ -157,7 +157,7 @@
         gearmen.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
             # The clients' part of the sockets is shared by the two listeners.
-            inbound = Inbound(config, core, counters, part=0.5 * part)
+            inbound = Inbound(config, core, counters, socket_share=0.5 * part)
             moving = Inbound(config, core, counters, parse_address(config.fronts.address.listen,
                                                                    "address.listen"), address.fence, 0.5 * part)
             # An id that is open at one of them is refused at the other.
@@ -206,11 +206,11 @@
         peers.leave()
         if successor := bool(shelf.others_began_ns()):
             await peers.close()  # the kernel gives datagrams to one of two sockets: they are the successor's now
-        leaves = [inbound.leave(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
+        leaves = [inbound.shut_down(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
         if address is not None:
             leaves.append(address.leave())
         if moving is not None:
-            leaves.append(moving.leave(lambda: True))
+            leaves.append(moving.shut_down(lambda: True))
         await asyncio.gather(*leaves)
     finally:
         await inbound.close()
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -188,8 +188,8 @@
                 self._drop()
                 self._wire = await Connection.connect(self.agent, CALL_S)
             await self._wire.send("GET", target, [(b"Host", f"{self.agent[0]}:{self.agent[1]}".encode())], b"")
-            event = await self._wire.event()
-            body = await self._wire.body(16 * 1024 * 1024)
+            event = await self._wire.next_event()
+            body = await self._wire.read_body(16 * 1024 * 1024)
         if event.status_code != 200:
             raise ConnectionLostError(f"answered {event.status_code}")
         try:
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -64,9 +64,9 @@
 
     async def outcome(self, call: Call, connection: Connection) -> Outcome:
         """Read an answer up to the line, or the status, that ends the attempt."""
-        response = await connection.event()
+        response = await connection.next_event()
         while isinstance(response, h11.InformationalResponse):
-            response = await connection.event()
+            response = await connection.next_event()
         headers = dict(response.headers)
         report = parse_load(headers.get(b"x-server-load", b""), self.report_fields)
         if response.status_code != 200:
@@ -93,7 +93,7 @@
 
     async def _lines(self, connection: Connection) -> AsyncIterator[Line]:
         rest = b""
-        while not isinstance(event := await connection.event(), h11.EndOfMessage):
+        while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 continue
             *lines, rest = (rest + bytes(event.data)).split(b"\n")
--- a/gaphub/net/http/connection.py
+++ b/gaphub/net/http/connection.py
@@ -153,7 +153,7 @@
         except OSError:
             raise NeverWrittenError from None
 
-    async def event(self) -> Any:
+    async def next_event(self) -> Any:
         """The next h11 event of the answer; ConnectionLostError if there will be none."""
         while True:
             try:
@@ -169,10 +169,10 @@
                 raise ConnectionLostError("closed")
             return event
 
-    async def body(self, most: int = tunables.MAX_ANSWER_LINE_BYTES) -> bytes:
+    async def read_body(self, most: int = tunables.MAX_ANSWER_LINE_BYTES) -> bytes:
         """The rest of an answer's body."""
         parts = bytearray()
-        while not isinstance(event := await self.event(), h11.EndOfMessage):
+        while not isinstance(event := await self.next_event(), h11.EndOfMessage):
             if isinstance(event, h11.Data):
                 parts += event.data
                 if len(parts) > most:
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -105,7 +105,7 @@
         try:
             async with asyncio.timeout(tunables.ANSWER_END_TIMEOUT_S):
                 if connection.http.their_state is h11.SEND_BODY:
-                    await connection.body()
+                    await connection.read_body()
         except (ConnectionLostError, TimeoutError):
             pass
         finally:
@@ -127,7 +127,7 @@
         """Write the whole request; the same attempt takes another connection where nothing left in whole."""
         self.outcome.status = Status.CONNECT_FAILED
         while True:
-            connection = self._connection = await self.pool.take(self._needs_fresh_connection)
+            connection = self._connection = await self.pool.acquire(self._needs_fresh_connection)
             self._kept = connection.used
             _stop_if(self.core.may_go_on(self.call))
             self.call.begun_at = self.core.clock.now()
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -29,17 +29,18 @@
     """The clients' side: a listening socket, and a task for each connection that was accepted there."""
 
     def __init__(self, config: Config, core: Core, counters: Counters, listen: Address | None = None,
-                 fence: Fence | None = None, part: float = 1.0) -> None:
-        """``listen``, ``fence``: of a listener beside the platform's; ``part``: of the clients' sockets."""
+                 fence: Fence | None = None, socket_share: float = 1.0) -> None:
+        """``listen``, ``fence``: of a listener beside the platform's; ``socket_share``: of clients' sockets."""
         self.core = core
         self.counters = counters
         self.listen = listen or config.listen
         self.shared = config.admin is not None  # upgrades: two processes listen at once
-        self.room = max(1, int(config.limits.sockets * tunables.INBOUND_SOCKET_SHARE * part))
+        self.max_connections = max(1, int(config.limits.sockets * tunables.INBOUND_SOCKET_SHARE * socket_share))
         self.sessions: dict[int, ClientSession] = {}
         self.drain = Drain()
         self.handler = RequestHandler(core, counters, self.drain, fence,
-                                      int(config.limits.memory_mb * 1e6 * tunables.BODY_MEMORY_SHARE * part))
+                                      int(config.limits.memory_mb * 1e6
+                                          * tunables.BODY_MEMORY_SHARE * socket_share))
         self._serial = 0
         self._listener: socket.socket | None = None
         self._acceptor: Acceptor | None = None  # None: it listens no longer
@@ -93,7 +94,7 @@
             self._defers = defer_silent(self._listener, False)
             self._deferred_until = self.core.clock.now() + DEFERRED_MS
 
-    async def leave(self, others_serve: Callable[[], bool], successor: bool = False,
+    async def shut_down(self, others_serve: Callable[[], bool], successor: bool = False,
                     place: int = reuseport.SECOND) -> None:
         """After SIGTERM: serve on while connections come, then end each after its answer.
 
@@ -174,7 +175,7 @@
 
     def free(self) -> int:
         """How many more connections clients may have."""
-        return self.room - len(self.sessions) - self._arriving
+        return self.max_connections - len(self.sessions) - self._arriving
 
     def make_room(self, wanted: int) -> bool:
         """Have some connections end, as so many newcomers wait; whether any is about to."""
@@ -235,7 +236,7 @@
 
         It counts the time since the last look, so that a slow pace of looks makes room for no fewer in a second.
         """
-        most = max(1, int(self.room * tunables.MAX_EVICTION_SHARE))
+        most = max(1, int(self.max_connections * tunables.MAX_EVICTION_SHARE))
         passed_s, self._made_room_at = (now - self._made_room_at) / 1000.0, now
         return max(1, min(most, int(passed_s * tunables.MAX_EVICTIONS_PER_S)))
 
--- a/gaphub/net/http/pool.py
+++ b/gaphub/net/http/pool.py
@@ -25,27 +25,27 @@
         self.idle: list[Connection] = []
         self.failed_locally_at = -math.inf  # when this machine last failed to make a connection
 
-    async def take(self, fresh: bool = False) -> Connection:
+    async def acquire(self, new_only: bool = False) -> Connection:
         """An idle connection, the one used last, or a new one; ConnectionLostError if there is none.
 
         LocalFailureError where this machine, or the part of its descriptors for workers, has no room for one.
         """
-        while self.idle and not fresh:
+        while self.idle and not new_only:
             connection = self.idle.pop()
             # Guards against settings whose idle time is no longer than the pause between two rounds of the
             # reaper: the worker's machine has closed such a connection, or is about to.
             if connection.usable and connection.idle_since >= self.owner.clock.now() - self.owner.idle_ms:
                 return connection
             self.drop(connection)
-        while self.owner.sockets <= 0 and await self.owner.make_room():
+        while self.owner.free_sockets <= 0 and await self.owner.make_room():
             pass
-        if self.owner.sockets <= 0:
+        if self.owner.free_sockets <= 0:
             raise LocalFailureError("out of sockets")
-        self.owner.sockets -= 1
+        self.owner.free_sockets -= 1
         try:
             connection = await Connection.connect(self.to, self.owner.connect_s, self._note_local_failure)
         except BaseException:
-            self.owner.sockets += 1
+            self.owner.free_sockets += 1
             raise
         self.owner.counters.add("connections.outbound")
         return connection
@@ -76,12 +76,13 @@
 
 
 class Pools:
-    """Owns the pools of all destinations; a connection counts as one of ``sockets`` until it is closed."""
+    """Owns the pools of all destinations; a connection counts as one of ``free_sockets`` until it is closed."""
 
-    def __init__(self, clock: Clock, counters: Counters, sockets: int, idle_ms: float, connect_s: float) -> None:
+    def __init__(self, clock: Clock, counters: Counters, free_sockets: int, idle_ms: float,
+                 connect_s: float) -> None:
         self.clock = clock
         self.counters = counters
-        self.sockets = sockets  # that may be opened now
+        self.free_sockets = free_sockets  # that may be opened now
         self.closing = 0  # that were told to close and still hold a descriptor
         self.idle_ms = idle_ms  # idle for so long, a connection is closed
         self.connect_s = connect_s
@@ -111,7 +112,7 @@
     def closed(self) -> None:
         """A connection that was told to close holds no descriptor any longer."""
         self.closing -= 1
-        self.sockets += 1
+        self.free_sockets += 1
 
     async def make_room(self) -> bool:
         """Close the idle connections that were used longest ago, a quarter: the sockets are needed elsewhere.
--- a/gaphub/net/http/probe.py
+++ b/gaphub/net/http/probe.py
@@ -35,7 +35,7 @@
             async with timeout_after_poll(tunables.PROBE_TIMEOUT_S):
                 while connection is None:
                     status = Status.CONNECT_FAILED
-                    connection = await pool.take()
+                    connection = await pool.acquire()
                     status = Status.RESET
                     kept = connection.used
                     try:
@@ -44,14 +44,14 @@
                         if kept and not await connection.quiet():
                             raise NeverWrittenError
                         await connection.send("GET", "/-/load", [(b"Host", self.service)], b"")
-                        event = await connection.event()
+                        event = await connection.next_event()
                     except (ConnectionLostError, NeverWrittenError):
                         if not kept or connection.heard:
                             raise
                         # Closed early by the worker's machine, as it may be: that is no word on the worker.
                         pool.drop(connection)
                         connection = None
-                body = await connection.body()
+                body = await connection.read_body()
                 if isinstance(event, h11.Response):
                     status = Status.OK if event.status_code == 200 else Status.ERROR
                     report = parse_load(body, self.report_fields)  # type: ignore[assignment]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -550,7 +550,7 @@
 
 
 # Whatever raises in a call's own code ends the attempt as what is true of it.
-@pytest.mark.parametrize(("where", "ends"), [("begin", "connect_failed"), ("event", "reset")])
+@pytest.mark.parametrize(("where", "ends"), [("begin", "connect_failed"), ("next_event", "reset")])
 def test_a_call_that_raises_ends_all_the_same(where: str, ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # Discovery's stays as it is.
     monkeypatch.setattr(destinations, "Connection", type("Apart", (http.Connection,), {}))
@@ -768,13 +768,13 @@
 # SIGHUP has dropped the class of the longest deadline, of which a job is open: SIGKILL does not wait for it.
 def test_the_time_to_leave_is_that_of_the_classes_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
     left: list[http.Drain] = []
-    leave = http.Inbound.leave
+    leave = http.Inbound.shut_down
 
     async def noted(self: http.Inbound, *more: Any) -> None:
         left.append(self.drain)
         await leave(self, *more)
 
-    monkeypatch.setattr(http.Inbound, "leave", noted)
+    monkeypatch.setattr(http.Inbound, "shut_down", noted)
 
     async def run() -> None:
         async with Cast() as cast:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -205,8 +205,8 @@
         held: list[int] = []  # descriptors, as each connection begins
 
         class Noted(Pool):
-            async def take(self, fresh: bool = False) -> Connection:
-                connections.append(await super().take(fresh))
+            async def acquire(self, new_only: bool = False) -> Connection:
+                connections.append(await super().acquire(new_only))
                 return connections[-1]
 
         async def connect(to: Any, within_s: float, failed_locally: Any) -> Connection:
@@ -219,11 +219,11 @@
             pools = [Noted(to, owner) for to in workers.addresses]
             owner._pools = dict(zip(workers.addresses, pools, strict=True))
             for pool in pools[:most]:
-                connection = await pool.take()
+                connection = await pool.acquire()
                 connection.idle_since = clock.now()
                 pool.idle.append(connection)
                 await asyncio.sleep(0.002)  # one was used last
-            await asyncio.gather(*(pool.take() for pool in pools[most:]))
+            await asyncio.gather(*(pool.acquire() for pool in pools[most:]))
         for connection in connections:
             connection.close()
         workers.close()
@@ -248,8 +248,8 @@
 
         monkeypatch.setattr(kind, "__init__", noted)
 
-    note(Inbound, "room")
-    note(Pools, "sockets")
+    note(Inbound, "max_connections")
+    note(Pools, "free_sockets")
     note(Ops, "most")
     if fronts:
         note(Gearman, "most")
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -113,7 +113,7 @@
                 successor.bind(cast.config.listen)
                 successor.listen(64)
                 successor.setblocking(False)
-                await inbounds[0].leave(lambda: True, successor=True)
+                await inbounds[0].shut_down(lambda: True, successor=True)
                 assert len(come) == 32
                 for _ in come:
                     successor.accept()[0].close()
