--- a/gaphub/net/http/__init__.py
+++ b/gaphub/net/http/__init__.py
@@ -1,15 +1,15 @@
-"""The HTTP front: the clients' connections, and those to the workers with their pools, calls and probes.
+"""The HTTP front: client connections, and connections to workers with their pools, calls and probes.
 
-It turns bytes into the core's messages and back.  It must never decide where a request goes, never send one a
-second time by itself, and never call an attempt "never ran" once its last byte was written, unless the worker
+Translates between HTTP and the core's messages. The front does not choose a request's destination, does not resend
+a request by itself, and never reports an attempt as "never ran" once its last byte was written, unless the worker
 said so.
 
-Clients' side: ``inbound`` (listening, accepting, leaving), ``session`` (a connection's state), ``handler``
-(requests and answers), ``request`` (what a request must be), ``room`` (who makes room for newcomers), ``drain``
-(the times after SIGTERM).
-Workers' side: ``outbound`` (calls), ``exchange`` (one attempt on the wire), ``probe``, ``answer`` (what a worker's
-answer says), ``pool``, ``connection``.
-Both read their times, sizes and shares in ``tunables``.
+Client side: ``inbound`` (listening, accepting, shutdown), ``session`` (state of a connection), ``handler``
+(requests and answers), ``request`` (validation and parsing), ``room`` (order of evictions), ``drain`` (time limits
+after SIGTERM).
+Worker side: ``outbound`` (calls), ``exchange`` (one attempt on the wire), ``probe``, ``answer`` (parsing of a
+worker's answer), ``pool``, ``connection``.
+Both read their time-outs, sizes and shares from ``tunables``.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from types import ModuleType
 
 from . import tunables
-from .answer import Line, parse_load
+from .answer import AnswerLine, parse_load_report
 from .connection import Connection, ConnectionLostError, EarlyAnswerError, NeverWrittenError
 from .drain import Drain
 from .exchange import StoppedError
@@ -26,7 +26,7 @@
 from .inbound import Inbound
 from .outbound import Outbound
 from .pool import Pool, Pools
-from .request import BadRequestError, check_head, parse_job, parse_key, passed_on
+from .request import BadRequestError, check_head, forwarded_headers, parse_job, parse_key
 from .session import ClientSession, SessionProtocol
 from .tunables import (
     ANSWER_END_TIMEOUT_S,
@@ -62,19 +62,20 @@
 )
 
 __all__ = [
-    "ANSWER_END_TIMEOUT_S", "ANSWER_WRITE_TIMEOUT_S", "BODY_MEMORY_SHARE", "BadRequestError", "ClientSession",
-    "Connection", "ConnectionLostError", "DRAIN_ACCEPT_S", "DRAIN_EXTRA_MS", "DRAIN_IDLE_S",
+    "ANSWER_END_TIMEOUT_S", "ANSWER_WRITE_TIMEOUT_S", "AnswerLine", "BODY_MEMORY_SHARE", "BadRequestError",
+    "ClientSession", "Connection", "ConnectionLostError", "DRAIN_ACCEPT_S", "DRAIN_EXTRA_MS", "DRAIN_IDLE_S",
     "DRAIN_MAX_DEADLINE_MS", "DRAIN_MIN_LEFT_AIMS", "DRAIN_MIN_LEFT_MS", "DRAIN_RETRY_AFTER_MS", "DRAIN_SLACK_MS",
     "Drain", "ERROR_LINGER_S", "EVICTION_IDLE_MS", "EarlyAnswerError", "FIRST_REQUEST_TIMEOUT_S",
-    "FLOOD_READ_INTERVAL_S", "IDLE_TIMEOUT_SHARE", "INBOUND_SOCKET_SHARE", "Inbound", "LAST_BYTE_DELAY_S", "Line",
+    "FLOOD_READ_INTERVAL_S", "IDLE_TIMEOUT_SHARE", "INBOUND_SOCKET_SHARE", "Inbound", "LAST_BYTE_DELAY_S",
     "MAX_ANSWER_LINE_BYTES", "MAX_BODY_BYTES", "MAX_ERROR_LINGER_BYTES", "MAX_STALE_SHARE", "NeverWrittenError",
     "OUTBOUND_SOCKET_SHARE", "Outbound", "PROBE_TIMEOUT_S", "Pool", "Pools", "READ_CHUNK_BYTES", "REAP_INTERVAL_S",
     "RECEIVE_BUFFER_BYTES", "REQUEST_TIMEOUT_S", "RequestHandler", "STALE_SHARE_SMOOTHING", "SessionProtocol",
-    "StoppedError", "TRANSIT_ALLOWANCE_MS", "check_head", "parse_job", "parse_key", "parse_load", "passed_on",
+    "StoppedError", "TRANSIT_ALLOWANCE_MS", "check_head", "forwarded_headers", "parse_job", "parse_key",
+    "parse_load_report",
 ]
 
 class _Package(ModuleType):
-    """Hands a tunable that is set on the package, as a test does, to the module that the code reads it from."""
+    """Forwards a tunable that a test sets on the package to ``tunables``, where the code reads it."""
 
     def __setattr__(self, name: str, value: object) -> None:
         super().__setattr__(name, value)
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -1,6 +1,6 @@
-"""Owns the reading of a worker's answer: its lines, its load report, and the outcome that they make.
+"""Reads a worker's answer: its lines, its load report, and the outcome of the attempt.
 
-It must never decide what follows from an outcome, nor give a connection back.
+Does not decide what follows from an outcome, and does not return the connection to its pool.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from . import tunables
 from .connection import Connection, ConnectionLostError
 
-ENDINGS = {"failed": Status.ERROR, "returned": Status.FULL, "lost": Status.RESET}
+STATUS_BY_FINAL_STATE = {"failed": Status.ERROR, "returned": Status.FULL, "lost": Status.RESET}
 
 
-class Line(msgspec.Struct):
-    """One line of a worker's answer."""
+class AnswerLine(msgspec.Struct):
+    """One JSON line of a worker's answer."""
 
     state: str
     id: str = ""
@@ -33,50 +33,52 @@
     load: Any = None
 
 
-_line = msgspec.json.Decoder(Line)
-_load = msgspec.json.Decoder(dict[str, float])
+_line_decoder = msgspec.json.Decoder(AnswerLine)
+_load_decoder = msgspec.json.Decoder(dict[str, float])
 
 
-def parse_load(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """A load report, as JSON or as ``name=value,...``, in the order of the settings; () if it is none.
+def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
+    """Parse a load report, given as JSON or as ``name=value,...``, into values in the order of ``fields``.
 
-    Guards against a spoilt ``nan`` or ``inf``: no comparison of the Balancer's would be true or false of it.
+    Returns () if the report is malformed. A report with a ``nan`` or an infinite value counts as malformed,
+    because no comparison by the balancer would be meaningful for it.
     """
     try:
         if text.lstrip().startswith(b"{"):
-            values = _load.decode(text)
+            values = _load_decoder.decode(text)
         else:
-            pairs = (p.partition("=") for p in text.decode("ascii").split(",") if p.strip())
+            pairs = (pair.partition("=") for pair in text.decode("ascii").split(",") if pair.strip())
             values = {name.strip(): float(value) for name, _, value in pairs}
-        found = tuple(float(values[f]) for f in fields)
-        return found if all(map(math.isfinite, found)) else ()
+        report = tuple(float(values[field]) for field in fields)
+        return report if all(map(math.isfinite, report)) else ()
     except (msgspec.DecodeError, ValueError, KeyError):
         return ()
 
 
 class AnswerReader:
-    """Reads the answers to calls, and tells the core how far a call has come."""
+    """Reads the answers to calls and reports their progress to the core."""
 
     def __init__(self, core: Core, counters: Counters, report_fields: tuple[str, ...]) -> None:
         self.core = core
         self.counters = counters
         self.report_fields = report_fields
 
-    async def outcome(self, call: Call, connection: Connection) -> Outcome:
-        """Read an answer up to the line, or the status, that ends the attempt."""
+    async def read_outcome(self, call: Call, connection: Connection) -> Outcome:
+        """Read an answer up to the line, or the HTTP status, that ends the attempt."""
         response = await connection.next_event()
         while isinstance(response, h11.InformationalResponse):
             response = await connection.next_event()
         headers = dict(response.headers)
-        report = parse_load(headers.get(b"x-server-load", b""), self.report_fields)
+        report = parse_load_report(headers.get(b"x-server-load", b""), self.report_fields)
         if response.status_code != 200:
-            unrun = response.status_code in (503, 504) and headers.get(b"x-not-processed") == b"1"
-            return Outcome(Status.FULL if unrun else Status.ERROR, b"", report, response.status_code == 400)
-        async for line in self._lines(connection):
+            not_processed = response.status_code in (503, 504) and headers.get(b"x-not-processed") == b"1"
+            return Outcome(Status.FULL if not_processed else Status.ERROR, b"", report,
+                           response.status_code == 400)
+        async for line in self._read_lines(connection):
             if line.id not in ("", call.job.ident):
-                raise ConnectionLostError("an answer to another request")
+                raise ConnectionLostError("answer carries the id of another request")
             if isinstance(line.load, dict):
-                report = parse_load(msgspec.json.encode(line.load), self.report_fields)
+                report = parse_load_report(msgspec.json.encode(line.load), self.report_fields)
             if line.state == "started":
                 await self.core.post(lambda: self.core.started(call))
             elif line.state == "running":
@@ -84,33 +86,33 @@
             elif line.state == "done":
                 result = line.result
                 if result is msgspec.UNSET:
-                    raise self._garbled("done without a result")
+                    raise self._malformed("done without a result")
                 body = result.encode() if isinstance(result, str) else msgspec.json.encode(result)
                 return Outcome(Status.OK, body, report)
-            elif line.state in ENDINGS:
-                return Outcome(ENDINGS[line.state], b"", report)
-        raise ConnectionLostError("the answer ended before its last line")
+            elif line.state in STATUS_BY_FINAL_STATE:
+                return Outcome(STATUS_BY_FINAL_STATE[line.state], b"", report)
+        raise ConnectionLostError("answer ended without a final state")
 
-    async def _lines(self, connection: Connection) -> AsyncIterator[Line]:
-        rest = b""
+    async def _read_lines(self, connection: Connection) -> AsyncIterator[AnswerLine]:
+        partial_line = b""
         while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 continue
-            *lines, rest = (rest + bytes(event.data)).split(b"\n")
-            if len(rest) > tunables.MAX_ANSWER_LINE_BYTES:
-                raise ConnectionLostError("line too long")
+            *lines, partial_line = (partial_line + bytes(event.data)).split(b"\n")
+            if len(partial_line) > tunables.MAX_ANSWER_LINE_BYTES:
+                raise ConnectionLostError("answer line too long")
             for text in lines:
                 if text.strip():
                     yield self._decode(text)
-        if rest.strip():
-            yield self._decode(rest)
+        if partial_line.strip():
+            yield self._decode(partial_line)
 
-    def _decode(self, text: bytes) -> Line:
+    def _decode(self, text: bytes) -> AnswerLine:
         try:
-            return _line.decode(text)
+            return _line_decoder.decode(text)
         except GARBLED as error:
-            raise self._garbled(str(error)) from None
+            raise self._malformed(str(error)) from None
 
-    def _garbled(self, why: str) -> ConnectionLostError:
-        self.counters.log("garbled.answer", why)
-        return ConnectionLostError("garbled line")
+    def _malformed(self, reason: str) -> ConnectionLostError:
+        self.counters.log("garbled.answer", reason)
+        return ConnectionLostError("malformed answer line")
--- a/gaphub/net/http/connection.py
+++ b/gaphub/net/http/connection.py
@@ -1,7 +1,7 @@
-"""Owns one connection to a worker or an agent: requests are written to it and answers read from it.
+"""One connection to a worker or to the discovery agent: writes requests to it and reads answers from it.
 
-HTTP itself is h11's, which does no I/O; here are the bytes between it and the socket.  It must never send a
-request again, nor say that one did not run once its last byte was written.
+h11 implements HTTP without I/O; this module moves the bytes between h11 and the socket. It never resends a
+request, and never reports a request as not sent once its last byte was written.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 Header = tuple[bytes, bytes]
 
-# Of socket(2) and connect(2): errors that say nothing of the other side, and pass.
-LOCAL_SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-LOCAL_FAILURES = LOCAL_SHORTAGES | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
+# Transient errors of socket(2) and connect(2) that are caused by this machine and say nothing about the peer.
+LOCAL_RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+LOCAL_ERRORS = LOCAL_RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
 
 
 class ConnectionLostError(Exception):
-    """The connection broke or ended where an answer was owed."""
+    """The connection could not be opened, broke, or ended before a valid answer was complete."""
 
 
 class LocalFailureError(ConnectionLostError):
-    """There is no room for a connection on this machine, whoever is on the other side."""
+    """No connection could be opened for lack of resources on this machine, whoever the peer is."""
 
 
 class NeverWrittenError(Exception):
@@ -38,11 +38,11 @@
 
 
 class EarlyAnswerError(NeverWrittenError):
-    """The other side spoke before the request's last byte was written."""
+    """The peer sent data before the request's last byte was written."""
 
 
 class Connection:
-    """One outbound connection; ``close`` is the one place where it is given back."""
+    """One outbound connection; only ``close`` releases it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -50,38 +50,38 @@
         self.http = h11.Connection(h11.CLIENT)
         self.idle_since = 0.0
         self.used = False
-        self.heard = False  # whether anything of the present answer has come
+        self.answer_started = False  # whether any byte of the current answer was received
         writer.transport.set_write_buffer_limits(high=0)
 
     @classmethod
-    async def connect(cls, to: Address, within_s: float,
-                      failed_locally: Callable[[], None] = lambda: None) -> Connection:
-        """A new connection; ConnectionLostError if it does not come up in time.
+    async def connect(cls, address: Address, timeout_s: float,
+                      on_local_failure: Callable[[], None] = lambda: None) -> Connection:
+        """Open a connection; raises ConnectionLostError if that fails or takes longer than ``timeout_s``.
 
-        Tries again while this machine itself is what fails, at most for ``LOCAL_RETRY_LIMIT_S``, and then raises
-        LocalFailureError where the other side had no part in it.  Guards against holding a worker, or discovery,
-        to account for a want of descriptors, ports or memory here.
+        Failures of this machine (descriptors, ports, memory) are retried for up to ``LOCAL_RETRY_LIMIT_S``, so
+        that they do not count against a worker or the discovery agent. After that, LocalFailureError is raised for
+        those that the peer cannot have caused.
 
-        ``failed_locally`` is called at each failure of this machine.
+        ``on_local_failure`` is called at each failure of this machine.
         """
         loop = asyncio.get_running_loop()
-        ends = loop.time() + tunables.LOCAL_RETRY_LIMIT_S
+        deadline = loop.time() + tunables.LOCAL_RETRY_LIMIT_S
         while True:
             try:
-                async with timeout_after_poll(within_s):
-                    reader, writer = await asyncio.open_connection(*to)
+                async with timeout_after_poll(timeout_s):
+                    reader, writer = await asyncio.open_connection(*address)
                     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF,
                                                                tunables.SEND_BUFFER_BYTES)
                     return cls(reader, writer)
             except TimeoutError as error:
                 raise ConnectionLostError(str(error)) from None
             except OSError as error:
-                if error.errno not in LOCAL_FAILURES:
+                if error.errno not in LOCAL_ERRORS:
                     raise ConnectionLostError(str(error)) from None
-                failed_locally()
-                if loop.time() >= ends:
-                    kind = LocalFailureError if error.errno in LOCAL_SHORTAGES else ConnectionLostError
-                    raise kind(str(error)) from None
+                on_local_failure()
+                if loop.time() >= deadline:
+                    error_type = LocalFailureError if error.errno in LOCAL_RESOURCE_ERRORS else ConnectionLostError
+                    raise error_type(str(error)) from None
             await asyncio.sleep(tunables.LOCAL_RETRY_DELAY_S)
 
     @property
@@ -89,9 +89,9 @@
         """Whether another request may be written."""
         return not (self.reader.at_eof() or self.writer.transport.is_closing())
 
-    async def quiet(self) -> bool:
-        """Whether nothing has come on it since its last answer."""
-        self.heard = False
+    async def is_silent(self) -> bool:
+        """Whether nothing was received, neither data nor an end, since the last answer."""
+        self.answer_started = False
         try:
             async with asyncio.timeout(0.0):
                 await self.reader.read(1)
@@ -102,17 +102,18 @@
         return False
 
     async def send(self, method: str, target: str, headers: Iterable[Header], body: bytes) -> None:
-        """Write a whole request; NeverWrittenError if its last byte did not leave."""
-        await self._write(self._render(method, target, headers, body))
+        """Write a whole request; raises NeverWrittenError if its last byte was not written."""
+        await self._write(self._serialize(method, target, headers, body))
 
-    async def begin(self, method: str, target: str, headers: Iterable[Header], body: bytes) -> bytes:
-        """Write a request but for its last byte, which is given back for ``finish``, and wait a moment.
+    async def send_up_to_last_byte(self, method: str, target: str, headers: Iterable[Header],
+                                   body: bytes) -> bytes:
+        """Write a request except for its last byte, wait ``LAST_BYTE_DELAY_S``, and return that byte.
 
-        Guards against connections that the other side resets when the next request comes: written in one
-        go such a request may have run, and a never-twice one failed.  So the reset is here before the last
-        byte, and NeverWrittenError says that it did not run.
+        A peer may reset a kept-alive connection when the next request arrives. Had the request been written at
+        once, it might have run, and a job that must not run twice would have failed. This way the reset arrives
+        before the last byte, and NeverWrittenError proves that the request did not run.
         """
-        data = self._render(method, target, headers, body)
+        data = self._serialize(method, target, headers, body)
         await self._write(data[:-1])
         try:
             async with asyncio.timeout(tunables.LAST_BYTE_DELAY_S):
@@ -126,22 +127,22 @@
         self.http.receive_data(early)
         raise EarlyAnswerError
 
-    async def finish(self, last: bytes) -> None:
+    async def send_last_byte(self, last: bytes) -> None:
         """Write a request's last byte."""
         await self._write(last)
 
-    def _render(self, method: str, target: str, headers: Iterable[Header], body: bytes) -> bytes:
+    def _serialize(self, method: str, target: str, headers: Iterable[Header], body: bytes) -> bytes:
         if self.used:
             self.http.start_next_cycle()
         self.used = True
-        self.heard = False
+        self.answer_started = False
         head = self.http.send(h11.Request(method=method, target=target, headers=list(headers))) or b""
         content = self.http.send(h11.Data(data=body)) if body else b""
         self.http.send(h11.EndOfMessage())
         return head + (content or b"")
 
     async def _write(self, data: bytes) -> None:
-        """Hand bytes to the socket, all of them."""
+        """Write all bytes to the socket, leaving none in the transport's buffer."""
         if not self.usable:
             raise NeverWrittenError
         self.writer.write(data)
@@ -154,38 +155,38 @@
             raise NeverWrittenError from None
 
     async def next_event(self) -> Any:
-        """The next h11 event of the answer; ConnectionLostError if there will be none."""
+        """Return the next h11 event of the answer; raises ConnectionLostError if there will be none."""
         while True:
             try:
                 event = self.http.next_event()
                 if event is h11.NEED_DATA:
                     data = await self.reader.read(tunables.READ_CHUNK_BYTES)
-                    self.heard = self.heard or bool(data)
+                    self.answer_started = self.answer_started or bool(data)
                     self.http.receive_data(data)
                     continue
             except (OSError, h11.RemoteProtocolError) as error:
                 raise ConnectionLostError(str(error)) from None
             if isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLostError("closed")
+                raise ConnectionLostError("connection closed before the answer ended")
             return event
 
-    async def read_body(self, most: int = tunables.MAX_ANSWER_LINE_BYTES) -> bytes:
-        """The rest of an answer's body."""
+    async def read_body(self, max_bytes: int = tunables.MAX_ANSWER_LINE_BYTES) -> bytes:
+        """Read the rest of an answer's body."""
         parts = bytearray()
         while not isinstance(event := await self.next_event(), h11.EndOfMessage):
             if isinstance(event, h11.Data):
                 parts += event.data
-                if len(parts) > most:
-                    raise ConnectionLostError("answer too long")
+                if len(parts) > max_bytes:
+                    raise ConnectionLostError("answer body too long")
         return bytes(parts)
 
     @property
     def reusable(self) -> bool:
-        """Whether the last exchange ended so that the next may follow."""
+        """Whether the last exchange is complete, so that another request may follow."""
         if self.http.trailing_data[0]:
-            return False  # it said more than it was asked
+            return False  # the peer sent data past the end of its answer
         return self.usable and self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
     def close(self) -> None:
-        """Close; what was not read is lost."""
+        """Close the connection at once; unread data is discarded."""
         self.writer.transport.abort()
--- a/gaphub/net/http/drain.py
+++ b/gaphub/net/http/drain.py
@@ -1,6 +1,6 @@
-"""Owns the times of a listener's drain, after SIGTERM: until when all must be answered, and what may begin yet.
+"""Time limits of a listener's drain after SIGTERM: its deadline, and which jobs may still start.
 
-It is pure: it must never read a clock, nor close anything.
+Pure: reads no clock and closes nothing.
 """
 
 from __future__ import annotations
@@ -11,30 +11,39 @@
 
 
 class Drain:
-    """Whether a listener is leaving, and by when it must be done."""
+    """Whether a listener is draining, and its deadline."""
 
     def __init__(self) -> None:
-        self.leaving = False  # each connection ends with its next answer
-        self.told_at = 1e18  # when SIGTERM came
-        self.ends_at = 1e18  # when all must be answered that was asked a while after it
+        self.closing_connections = False  # each connection is closed after its next answer
+        self.started_at = 1e18  # when SIGTERM was received
+        self.deadline = 1e18  # when requests received a while after SIGTERM must be answered
 
-    def begin(self, now: float, longest_ms: float) -> None:
-        """SIGTERM has come; ``longest_ms``: the longest deadline of a class."""
-        self.told_at = now
-        self.hasten(longest_ms)
+    def begin(self, now: float, longest_deadline_ms: float) -> None:
+        """Start draining; ``longest_deadline_ms`` is the longest deadline of any class."""
+        self.started_at = now
+        self.shorten(longest_deadline_ms)
 
-    def hasten(self, longest_ms: float) -> None:
-        """The longest deadline is this now: new settings may come after SIGTERM, and bring SIGKILL nearer."""
-        self.ends_at = min(self.ends_at, self.told_at + self.lasts_ms(longest_ms))
+    def shorten(self, longest_deadline_ms: float) -> None:
+        """Move the deadline forward if the longest class deadline is shorter now.
+
+        A reload after SIGTERM may shorten the deadlines, and SIGKILL then follows sooner.
+        """
+        self.deadline = min(self.deadline, self.started_at + self.duration_ms(longest_deadline_ms))
 
     @staticmethod
-    def lasts_ms(longest_ms: float) -> float:
-        """From SIGTERM until all must be answered; ``longest_ms``: the longest deadline of a class."""
-        return min(longest_ms, tunables.DRAIN_MAX_DEADLINE_MS) + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS
-
-    def may_begin(self, job: Job, cls: ClassSettings) -> bool:
-        """Whether there is time for a job; of one that came a while after SIGTERM, bound its time."""
-        if job.received_at > self.told_at + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS:
-            job.left_ms = min(job.left_ms, self.ends_at - job.received_at)
-            return cls.effect == Effect.SAFE or job.left_ms >= tunables.DRAIN_MIN_LEFT_AIMS * cls.aim_ms
+    def duration_ms(longest_deadline_ms: float) -> float:
+        """Time from SIGTERM until every request must be answered."""
+        return (min(longest_deadline_ms, tunables.DRAIN_MAX_DEADLINE_MS)
+                + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS)
+
+    def admit(self, job: Job, class_settings: ClassSettings) -> bool:
+        """Whether there is time left for a job.
+
+        A job that was received more than ``DRAIN_EXTRA_MS - DRAIN_SLACK_MS`` after SIGTERM gets no more time than
+        until the drain's deadline. It is not admitted if it is not safe to repeat and too little time is left.
+        """
+        if job.received_at > self.started_at + tunables.DRAIN_EXTRA_MS - tunables.DRAIN_SLACK_MS:
+            job.left_ms = min(job.left_ms, self.deadline - job.received_at)
+            return (class_settings.effect == Effect.SAFE
+                    or job.left_ms >= tunables.DRAIN_MIN_LEFT_AIMS * class_settings.aim_ms)
         return True
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -1,8 +1,8 @@
-"""Owns one attempt on the wire: its connection, the bytes of its request in order, and what became of it.
+"""One attempt on the wire: its connection, the bytes of its request in order, and its outcome.
 
-All but the request's last byte go out at once, the last one a moment later with the core's leave: see
-``Connection.begin``.  It must never send a request a second time once its last byte was written, and never call
-an attempt "never ran" from then on, unless the worker said so.
+All but the request's last byte are sent at once. The last byte follows a moment later with the core's permission,
+see ``Connection.send_up_to_last_byte``. A request is never resent once its last byte was written, and from then on
+the attempt never counts as "never ran" unless the worker said so.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class StoppedError(Exception):
-    """The core's rules stopped a call before its last byte was written; ``status``: what it ends in."""
+    """The core stopped a call before its last byte was written; ``status`` is the attempt's outcome."""
 
     def __init__(self, status: Status) -> None:
         super().__init__(status.name)
@@ -36,55 +36,55 @@
 
 
 class StaleConnections:
-    """How often a kept connection is found to have ended under its next request."""
+    """How often a reused connection turns out to have been closed by the peer."""
 
     def __init__(self, counters: Counters) -> None:
-        self.share = 0.0
+        self.share = 0.0  # moving average
         self._counters = counters
 
     @property
     def frequent(self) -> bool:
-        """Whether a job that must not run twice had better take a new connection."""
+        """Whether a job that is not safe to repeat should get a new connection."""
         return self.share > tunables.MAX_STALE_SHARE
 
-    def saw(self, stale: bool) -> None:
-        """Note how a kept connection was found: whether it ended under the next request, unheard."""
+    def record(self, stale: bool) -> None:
+        """Record one use of a reused connection: whether it ended before any byte of the answer came."""
         if stale:
             self._counters.add("connections.stale")
         self.share += (stale - self.share) * tunables.STALE_SHARE_SMOOTHING
 
 
 class Exchange:
-    """One attempt: ``run`` it, then ``close`` it."""
+    """One attempt: ``run`` performs it, ``close`` must be called afterwards."""
 
     def __init__(self, call: Call, pool: Pool, core: Core, counters: Counters, answers: AnswerReader,
-                 stale: StaleConnections, service: bytes) -> None:
-        """``service``: the Host that the request names."""
+                 stale: StaleConnections, host: bytes) -> None:
+        """``host``: the request's Host header."""
         self.call = call
         self.pool = pool
         self.core = core
-        self.outcome = Outcome(Status.CANCELLED)  # if it is called off before it could begin
+        self.outcome = Outcome(Status.CANCELLED)  # if it is cancelled before it starts
         self._counters = counters
         self._answers = answers
         self._stale = stale
-        self._service = service
+        self._host = host
         self._connection: Connection | None = None
-        self._kept = False  # whether the connection has served a request before
-        # Than what is left, when the head is worded.
-        self._told_less_ms = tunables.TIMEOUT_HEADER_MARGIN_MS + tunables.LAST_BYTE_DELAY_S * 1000.0
+        self._reused = False  # whether the connection has carried a request before
+        # Subtracted from the time left when X-Timeout is set.
+        self._timeout_margin_ms = tunables.TIMEOUT_HEADER_MARGIN_MS + tunables.LAST_BYTE_DELAY_S * 1000.0
 
     async def run(self) -> Outcome:
-        """Write the request and read its answer.  Whatever raises: the request is owed an end."""
+        """Send the request and read its answer. Returns an outcome whatever is raised."""
         try:
             async with asyncio.timeout((self.call.ends - self.core.clock.now()) / 1000.0):
-                connection = await self._write()
-                await self._read(connection)
+                connection = await self._send_request()
+                await self._read_answer(connection)
         except TimeoutError:
             if self.outcome.status == Status.RESET:
                 self.outcome = Outcome(Status.TIMEOUT)
         except StoppedError as stopped:
             self.outcome = Outcome(stopped.status)
-        except LocalFailureError as error:  # another worker is out of reach as well, and none is to blame
+        except LocalFailureError as error:  # no other worker can be reached either, and none is at fault
             self._counters.log("calls.local_failures", str(error))
             self.outcome = Outcome(Status.MOOT)
         except (ConnectionLostError, NeverWrittenError):
@@ -94,11 +94,11 @@
         except Exception as error:
             self._counters.log("calls.raised", repr(error))
         if not self._reusable:
-            self._drop()
+            self._drop_connection()
         return self.outcome
 
     async def close(self) -> None:
-        """Read the answer's end, and give the connection back to its pool."""
+        """Read the rest of the answer and return the connection to its pool."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -109,91 +109,91 @@
         except (ConnectionLostError, TimeoutError):
             pass
         finally:
-            self.pool.give_back(connection, self.core.clock.now())
+            self.pool.release(connection, self.core.clock.now())
 
     @property
     def _reusable(self) -> bool:
-        """Whether the connection may serve a further request, once this answer has ended."""
+        """Whether the connection may carry another request once this answer has ended."""
         return self.call.written and self.outcome.status in (Status.OK, Status.FULL, Status.ERROR)
 
     @property
-    def _needs_fresh_connection(self) -> bool:
+    def _needs_new_connection(self) -> bool:
         effect = self.core.settings.classes[self.call.job.class_index].effect
         return effect != Effect.SAFE and self._stale.frequent
 
-    # -- writing --
+    # -- sending --
 
-    async def _write(self) -> Connection:
-        """Write the whole request; the same attempt takes another connection where nothing left in whole."""
+    async def _send_request(self) -> Connection:
+        """Send the whole request; takes another connection as long as the last byte was not sent on one."""
         self.outcome.status = Status.CONNECT_FAILED
         while True:
-            connection = self._connection = await self.pool.acquire(self._needs_fresh_connection)
-            self._kept = connection.used
-            _stop_if(self.core.may_go_on(self.call))
+            connection = self._connection = await self.pool.acquire(self._needs_new_connection)
+            self._reused = connection.used
+            _raise_if_stopped(self.core.may_go_on(self.call))
             self.call.begun_at = self.core.clock.now()
-            last = await self._begin(connection)
-            if last is None or self._head_has_aged():
-                self._drop()
+            last = await self._send_up_to_last_byte(connection)
+            if last is None or self._is_head_outdated():
+                self._drop_connection()
                 continue
-            await self._finish(connection, last)
+            await self._send_last_byte(connection, last)
             return connection
 
-    async def _begin(self, connection: Connection) -> bytes | None:
-        """Write all but the last byte, which is given back; None if a kept connection had ended."""
+    async def _send_up_to_last_byte(self, connection: Connection) -> bytes | None:
+        """Send all but the last byte and return that byte; None if a reused connection turned out to be stale."""
         job = self.call.job
-        left_ms = max(1, int(self.call.ends - self.call.begun_at - self._told_less_ms))
-        headers = [(b"Host", self._service), (b"X-Request-ID", job.ident.encode()),
+        left_ms = max(1, int(self.call.ends - self.call.begun_at - self._timeout_margin_ms))
+        headers = [(b"Host", self._host), (b"X-Request-ID", job.ident.encode()),
                    (b"X-Timeout", b"%dm" % left_ms),
                    (b"X-Priority-Class", self.core.class_names[job.class_index].encode()),
                    (b"Content-Length", b"%d" % len(job.body)), *job.passed]
         try:
-            return await connection.begin(job.method, job.target, headers, job.body)
+            return await connection.send_up_to_last_byte(job.method, job.target, headers, job.body)
         except h11.LocalProtocolError as error:
-            if not self._kept:
+            if not self._reused:
                 raise NeverWrittenError(str(error)) from None
         except NeverWrittenError as error:
-            if not self._kept:
+            if not self._reused:
                 if isinstance(error, EarlyAnswerError):
-                    await self._take_early_answer(connection)
+                    await self._read_early_answer(connection)
                 raise
-        self._stale.saw(stale=True)
+        self._stale.record(stale=True)
         return None
 
-    async def _take_early_answer(self, connection: Connection) -> None:
-        """Note what a worker said before it had the whole request.
+    async def _read_early_answer(self, connection: Connection) -> None:
+        """Take the status and load report of an answer that came before the whole request was sent.
 
-        Guards against one that says half a line before its turn, and no more: the request would wait for it until
-        its deadline, though nothing of it is out.
+        The time-out covers a worker that sends half a line early and then nothing: the request would otherwise
+        wait for it until its deadline, although it was not sent.
         """
         async with asyncio.timeout(tunables.ANSWER_END_TIMEOUT_S):
-            early = await self._answers.outcome(self.call, connection)
+            early = await self._answers.read_outcome(self.call, connection)
         if early.status == Status.FULL:
             self.outcome.status = Status.FULL
         self.outcome.report = early.report
 
-    def _head_has_aged(self) -> bool:
-        """Whether the head has to be worded anew, with less time.
+    def _is_head_outdated(self) -> bool:
+        """Whether X-Timeout now states more time than is left, so that the head must be sent anew.
 
-        Guards against a worker that takes a body late, and against a process that is held up before this and again
-        before its last byte: the slack of what is told covers one hold-up.
+        This happens if a worker reads the body late, or if this process was held up after the head was written.
+        The margin covers one hold-up only, and there may be another one before the last byte.
         """
         took_ms = self.core.clock.now() - self.call.begun_at
-        if took_ms <= self._told_less_ms:
+        if took_ms <= self._timeout_margin_ms:
             return False
         self._counters.add("calls.told_late")
-        self._told_less_ms += took_ms
+        self._timeout_margin_ms += took_ms
         return True
 
-    async def _finish(self, connection: Connection, last: bytes) -> None:
-        """Write the last byte.
+    async def _send_last_byte(self, connection: Connection, last: bytes) -> None:
+        """Send the last byte if the core still allows it.
 
-        Guards against a process frozen while a job was on its way: without its last byte none runs.
+        The process may have been frozen while the request was being sent. No request runs without its last byte.
         """
-        _stop_if(self.core.may_end(self.call))
+        _raise_if_stopped(self.core.may_end(self.call))
         self.call.written = True
-        self.outcome.status = Status.RESET  # a deadline that passes from here on: it may have run
+        self.outcome.status = Status.RESET  # if the deadline passes from here on, the request may have run
         try:
-            await connection.finish(last)
+            await connection.send_last_byte(last)
         except NeverWrittenError:
             self.call.written = False
             self.outcome.status = Status.CONNECT_FAILED
@@ -202,23 +202,23 @@
 
     # -- reading --
 
-    async def _read(self, connection: Connection) -> None:
+    async def _read_answer(self, connection: Connection) -> None:
         try:
-            self.outcome = await self._answers.outcome(self.call, connection)
+            self.outcome = await self._answers.read_outcome(self.call, connection)
         except ConnectionLostError:
-            if self._kept:
-                self._stale.saw(stale=not connection.heard)
+            if self._reused:
+                self._stale.record(stale=not connection.answer_started)
             raise
-        if self._kept:
-            self._stale.saw(stale=False)
+        if self._reused:
+            self._stale.record(stale=False)
 
-    def _drop(self) -> None:
+    def _drop_connection(self) -> None:
         if self._connection is not None:
             self.pool.drop(self._connection)
             self._connection = None
 
 
-def _stop_if(why: Status | None) -> None:
-    """Raise StoppedError where the core says why a call may not go on."""
-    if why is not None:
-        raise StoppedError(why)
+def _raise_if_stopped(status: Status | None) -> None:
+    """Raise StoppedError if the core gave a reason not to go on with a call."""
+    if status is not None:
+        raise StoppedError(status)
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -1,7 +1,7 @@
-"""Owns a listening socket and the clients' connections: accepting, making room, and leaving after SIGTERM.
+"""A listening socket and its client connections: accepting, evicting for new ones, and shutdown after SIGTERM.
 
-It must never read a request or write an answer: the handler does, and until it is done with a connection, that
-is closed only when nothing is on its way on it.
+Requests are read and answered by the handler. While it works on a connection, the connection is closed only when
+nothing is in transit on it.
 """
 
 from __future__ import annotations
@@ -21,183 +21,190 @@
 from . import reuseport, tunables
 from .drain import Drain
 from .handler import RequestHandler
-from .room import who_may_yield
+from .room import eviction_order
 from .session import ClientSession, SessionProtocol
 
 
 class Inbound:
-    """The clients' side: a listening socket, and a task for each connection that was accepted there."""
+    """A listening socket, and a task for each connection accepted on it."""
 
     def __init__(self, config: Config, core: Core, counters: Counters, listen: Address | None = None,
                  fence: Fence | None = None, socket_share: float = 1.0) -> None:
-        """``listen``, ``fence``: of a listener beside the platform's; ``socket_share``: of clients' sockets."""
+        """``listen``, ``fence``: of a listener besides the platform's.
+
+        ``socket_share``: this listener's share of the descriptors and of the body memory for clients.
+        """
         self.core = core
         self.counters = counters
         self.listen = listen or config.listen
-        self.shared = config.admin is not None  # upgrades: two processes listen at once
+        self.reuse_port = config.admin is not None  # during upgrades two processes listen at once
         self.max_connections = max(1, int(config.limits.sockets * tunables.INBOUND_SOCKET_SHARE * socket_share))
         self.sessions: dict[int, ClientSession] = {}
         self.drain = Drain()
         self.handler = RequestHandler(core, counters, self.drain, fence,
                                       int(config.limits.memory_mb * 1e6
                                           * tunables.BODY_MEMORY_SHARE * socket_share))
-        self._serial = 0
+        self._last_session_id = 0
         self._listener: socket.socket | None = None
-        self._acceptor: Acceptor | None = None  # None: it listens no longer
-        self._accepting: asyncio.Task[None] | None = None
-        self._defers = False  # the kernel keeps connections that have sent nothing
-        self._deferred_until = 0.0  # it may keep some yet; ms
-        self._made_room_at = 0.0  # when connections were last looked at for that
-        self._arriving = 0  # connections that are accepted and not in ``sessions`` yet
+        self._acceptor: Acceptor | None = None  # None once it has stopped listening
+        self._accept_task: asyncio.Task[None] | None = None
+        self._defers_accept = False  # the kernel holds back connections that have sent nothing
+        self._deferred_until = 0.0  # until when it may still hold some back; ms
+        self._last_eviction_at = 0.0  # when connections were last considered for eviction
+        self._starting_sessions = 0  # accepted connections that are not in ``sessions`` yet
         self._tasks = Tasks(counters)
 
     async def open(self) -> None:
-        """Listen."""
+        """Start to listen and accept."""
         loop = asyncio.get_running_loop()
         found = await loop.getaddrinfo(*self.listen, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
         self._listener = listener = socket.socket(*found[0][:3])
         listener.setblocking(False)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.shared:
+        if self.reuse_port:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        # Inherited by connections: bounds what one that sends without end may have in our memory.
+        # Inherited by accepted connections: bounds the memory for a client that sends without end.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, tunables.RECEIVE_BUFFER_BYTES)
         listener.bind(found[0][4])
         listener.listen(BACKLOG)
-        # Guards against a crowd that connects and says nothing: it held the places of others, and a client whose
-        # own machine came to write late was closed unread to make room.
-        # Not where a process that ends has no time to take those in that the kernel keeps.
-        if self.drain.lasts_ms(self._longest_deadline_ms()) >= DEFERRED_MS:
-            self._defers = defer_silent(listener, True)
-        if self.shared:
-            reuseport.share_out(listener)  # a process that left may have had all given to its successor
+        # Without deferring, many clients that connect and send nothing would take up the connections, and a client
+        # whose own machine is late to write would be evicted with its request unread. Not used if this process,
+        # when it shuts down, would have no time to accept those that the kernel holds back.
+        if self.drain.duration_ms(self._longest_deadline_ms()) >= DEFERRED_MS:
+            self._defers_accept = defer_silent(listener, True)
+        if self.reuse_port:
+            reuseport.restore_default(listener)  # an earlier process may have directed all to its successor
         self._acceptor = Acceptor(listener, self, self.counters, "connections")
-        self._accepting = self._tasks.start(self._acceptor.run())
+        self._accept_task = self._tasks.start(self._acceptor.run())
 
     async def _stop_accepting(self) -> None:
-        """Take in whoever the kernel has given to this process, as room comes, and listen no longer."""
-        if self._acceptor is None or self._accepting is None:
+        """Accept all connections that the kernel has queued for this process, as room permits, and close."""
+        if self._acceptor is None or self._accept_task is None:
             return
-        while self.core.clock.now() < min(self._deferred_until, self.drain.ends_at):
+        while self.core.clock.now() < min(self._deferred_until, self.drain.deadline):
             await asyncio.sleep(0.02)
-            self.drain.hasten(self._longest_deadline_ms())
-        self._accepting.cancel()
-        await asyncio.wait([self._accepting])
-        ends_at = self.drain.ends_at + tunables.DRAIN_LAST_ACCEPT_MS
-        if left := await self._acceptor.finish(lambda: self.core.clock.now() > ends_at):
-            self.counters.log("connections.left_waiting", f"{left} at the end")
+            self.drain.shorten(self._longest_deadline_ms())
+        self._accept_task.cancel()
+        await asyncio.wait([self._accept_task])
+        deadline = self.drain.deadline + tunables.DRAIN_LAST_ACCEPT_MS
+        if left := await self._acceptor.finish(lambda: self.core.clock.now() > deadline):
+            self.counters.log("connections.left_waiting", f"{left} connections not accepted at shutdown")
         self._acceptor = self._listener = None
 
     def _stop_deferring(self) -> None:
-        """Have the kernel hand over connections that have sent nothing, as a close would reset them."""
-        if self._defers and self._listener is not None:
-            self._defers = defer_silent(self._listener, False)
+        """Have the kernel hand over held-back connections, which closing the listener would reset."""
+        if self._defers_accept and self._listener is not None:
+            self._defers_accept = defer_silent(self._listener, False)
             self._deferred_until = self.core.clock.now() + DEFERRED_MS
 
     async def shut_down(self, others_serve: Callable[[], bool], successor: bool = False,
-                    place: int = reuseport.SECOND) -> None:
-        """After SIGTERM: serve on while connections come, then end each after its answer.
-
-        Clients go on using the connections that they have.  Where no other scheduler takes requests, those
-        are all that the clients have: they are kept while a request may still be answered on them.
-        ``successor``: another process listens at the same address.  Then new connections are its, at once, and
-        those that are here end with an answer; idle ones wait for one as long as there is time.
-        ``place``: whether it began to listen after this one (``SECOND``) or before (``FIRST``).
+                        listener_index: int = reuseport.SECOND) -> None:
+        """After SIGTERM: keep serving while new connections come, then close each connection after its answer.
+
+        Clients go on using their open connections. If ``others_serve`` says that no other scheduler takes
+        requests, those connections are all that the clients have, and are kept open as long as a request on them
+        can still be answered.
+
+        ``successor``: another process listens at the same address. New connections are directed to it at once.
+        Connections to this process are closed with an answer; idle ones are kept for one as long as there is time.
+        ``listener_index``: whether the successor began to listen after this process (``SECOND``) or before it
+        (``FIRST``).
         """
         now = self.core.clock.now
         self.drain.begin(now(), self._longest_deadline_ms())
         self._stop_deferring()
         if successor:
-            self.drain.leaving = True
+            self.drain.closing_connections = True
             if self._listener is not None:
-                reuseport.give_all_to(self._listener, place)
-                # Guards against handshakes that have begun with this listener and end a moment later: on a busy
-                # machine the kernel finishes them aside, and a close before that resets the connection.
+                reuseport.direct_all_to(self._listener, listener_index)
+                # On a busy machine the kernel completes handshakes with this listener a little later. Closing the
+                # listener before that would reset those connections.
                 await asyncio.sleep(tunables.HANDOVER_DELAY_S)
             await self._stop_accepting()
         else:
             await asyncio.sleep(tunables.DRAIN_ACCEPT_S)
         while (successor and self.sessions or not (successor or others_serve())) \
-                and now() < self.drain.ends_at - tunables.DRAIN_MIN_LEFT_MS:
+                and now() < self.drain.deadline - tunables.DRAIN_MIN_LEFT_MS:
             await asyncio.sleep(0.02)
-            self.drain.hasten(self._longest_deadline_ms())
-        self.drain.leaving = True
+            self.drain.shorten(self._longest_deadline_ms())
+        self.drain.closing_connections = True
         if self._listener is not None:
-            # Guards against a crowd that fills the queue up to the end: what waits at the close is to be taken in.
+            # Connections that are queued when the listener closes must all be accepted. A short queue keeps many
+            # clients from filling it up to the end.
             self._listener.listen(BACKLOG_ENDING)
         while True:
-            while self.sessions or self._arriving or self.core.open_jobs:
-                self.drain.hasten(self._longest_deadline_ms())
-                if now() < self.drain.ends_at:
-                    self._close_resting(now() - tunables.DRAIN_IDLE_S * 1000.0)
+            while self.sessions or self._starting_sessions or self.core.open_jobs:
+                self.drain.shorten(self._longest_deadline_ms())
+                if now() < self.drain.deadline:
+                    self._close_idle(now() - tunables.DRAIN_IDLE_S * 1000.0)
                 else:
                     await self._stop_accepting()
-                    self._hurry()
+                    self._close_unfinished()
                 await asyncio.sleep(0.02)
             if self._listener is None:
                 return
-            # Guards against a client that connects just as the last one has gone: the kernel has taken it, and
-            # a process that ends would reset it with its request unread.
+            # A client may connect just as the last connection ends. The kernel has accepted it, and the end of
+            # this process would reset it with its request unread.
             await self._stop_accepting()
 
     def _longest_deadline_ms(self) -> float:
-        """Of the classes in force: rows of others are kept for open jobs, and SIGKILL does not wait for those."""
+        """Longest deadline of the classes in force; open jobs may belong to others, but SIGKILL ignores those."""
         return max(self.core.settings.classes[row].deadline_ms for row in self.core.table.live.values())
 
-    def _hurry(self) -> None:
-        """Close what rests and end what is half read, with an error: SIGKILL may come in a moment.
+    def _close_unfinished(self) -> None:
+        """Close idle connections and end partly received requests with an error, as SIGKILL may be imminent.
 
-        Guards against clients that come without end, as a crowd does: while there is one, the listener stayed
-        open, and what came just before SIGKILL was taken and not answered.
+        Otherwise a steady stream of clients would keep the listener open, and requests that come just before
+        SIGKILL would be accepted and not answered.
         """
-        self._close_resting(self.core.clock.now() - tunables.DRAIN_LAST_IDLE_S * 1000.0)
+        self._close_idle(self.core.clock.now() - tunables.DRAIN_LAST_IDLE_S * 1000.0)
         for session in self.sessions.values():
-            if session.halfway and session.waits is not None:
-                session.reader.set_exception(TimeoutError("the scheduler ends"))
+            if session.mid_request and session.waiting_since is not None:
+                session.reader.set_exception(TimeoutError("scheduler is shutting down"))
 
-    def _close_resting(self, before: float) -> None:
-        """Close what has rested since before a time.
+    def _close_idle(self, before: float) -> None:
+        """Close connections that have been idle since before a time.
 
-        Guards against a request that came with its connection and waited to be accepted, as that connection counts
-        as idle since it was made: what lies in the kernel is looked at.
+        A connection counts as idle from when it was made. It may have waited to be accepted with its request
+        already in the kernel, so the kernel is checked for unread bytes.
         """
         for session in list(self.sessions.values()):
             if session.may_close(before) and shut_if_silent(session.sock):
                 session.writer.transport.abort()
 
     async def close(self) -> None:
-        """Give back the listening socket and every connection."""
+        """Close the listening socket and all connections."""
         await self._tasks.close()
         if self._listener is not None:
             self._listener.close()
 
-    # -- what the acceptor asks of its owner --
+    # -- the acceptor's Owner protocol --
 
     def free(self) -> int:
-        """How many more connections clients may have."""
-        return self.max_connections - len(self.sessions) - self._arriving
+        """How many more connections may be accepted."""
+        return self.max_connections - len(self.sessions) - self._starting_sessions
 
     def make_room(self, wanted: int) -> bool:
-        """Have some connections end, as so many newcomers wait; whether any is about to."""
-        if self.core.clock.now() > self.drain.ends_at:
-            self._hurry()
-        return self._make_room(wanted)
+        """Evict connections for so many waiting clients; whether any connection is about to end."""
+        if self.core.clock.now() > self.drain.deadline:
+            self._close_unfinished()
+        return self._evict(wanted)
 
     def take_in(self, sock: socket.socket) -> None:
-        """Serve a connection that was accepted."""
+        """Serve an accepted connection."""
         sock.setblocking(False)
-        self._arriving += 1
-        self._tasks.start(self._arrive(sock))
+        self._starting_sessions += 1
+        self._tasks.start(self._start_session(sock))
 
-    async def _arrive(self, sock: socket.socket) -> None:
+    async def _start_session(self, sock: socket.socket) -> None:
         try:
-            await self._take_in(sock)
+            await self._open_session(sock)
         finally:
-            self._arriving -= 1
+            self._starting_sessions -= 1
 
-    async def _take_in(self, sock: socket.socket) -> None:
+    async def _open_session(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        since = self.core.clock.now() - since_connected_ms(sock)
+        connected_at = self.core.clock.now() - since_connected_ms(sock)
         try:
             reader = asyncio.StreamReader(limit=tunables.RECEIVE_BUFFER_BYTES)
             protocol = SessionProtocol(reader, self.core.clock.now)
@@ -206,60 +213,60 @@
             sock.close()
             return
         self.counters.add("connections.inbound")
-        self._serial += 1
-        session = ClientSession(reader, asyncio.StreamWriter(transport, protocol, reader, loop), protocol, since)
-        self.sessions[self._serial] = session
-        self._tasks.start(self._serve(self._serial, session))
+        self._last_session_id += 1
+        session = ClientSession(reader, asyncio.StreamWriter(transport, protocol, reader, loop), protocol,
+                                connected_at)
+        self.sessions[self._last_session_id] = session
+        self._tasks.start(self._serve(self._last_session_id, session))
 
-    def _make_room(self, wanted: int = 1) -> bool:
-        """Whether a connection is on its way out, if need be some that are made to go.
+    def _evict(self, wanted: int = 1) -> bool:
+        """Evict up to ``wanted`` connections, less those that are being evicted; whether any is about to end.
 
-        Guards against judging a client by a time in which this process was held up: what it sent meanwhile lies in
-        the kernel, so that is looked at before its connection is taken for an idle one.
+        What a client sent while this process was held up lies in the kernel, so the kernel is checked before a
+        connection counts as idle.
         """
         now = self.core.clock.now()
-        going = sum(session.yielded for session in self.sessions.values())
-        wanted = min(wanted, self._may_yield_now(now)) - going
-        for session in who_may_yield(self.sessions.values(), now):
+        evicting = sum(session.evicted for session in self.sessions.values())
+        wanted = min(wanted, self._eviction_budget(now)) - evicting
+        for session in eviction_order(self.sessions.values(), now):
             if wanted <= 0:
                 break
             if not shut_if_silent(session.sock):
                 self.counters.add("connections.not_yielded")
                 continue
-            self._yield(session, now)
+            self._evict_session(session, now)
             wanted -= 1
-            going += 1
-        return going > 0
+            evicting += 1
+        return evicting > 0
 
-    def _may_yield_now(self, now: float) -> int:
-        """How many connections may make room at this look.
+    def _eviction_budget(self, now: float) -> int:
+        """How many connections may be evicted in this pass.
 
-        It counts the time since the last look, so that a slow pace of looks makes room for no fewer in a second.
+        Proportional to the time since the last pass, so that fewer passes per second do not mean fewer evictions.
         """
         most = max(1, int(self.max_connections * tunables.MAX_EVICTION_SHARE))
-        passed_s, self._made_room_at = (now - self._made_room_at) / 1000.0, now
+        passed_s, self._last_eviction_at = (now - self._last_eviction_at) / 1000.0, now
         return max(1, min(most, int(passed_s * tunables.MAX_EVICTIONS_PER_S)))
 
-    def _yield(self, session: ClientSession, now: float) -> None:
-        """Have a connection end to make room."""
+    def _evict_session(self, session: ClientSession, now: float) -> None:
         self.counters.add("connections.yielded")
-        self.counters.add("connections.yielded_" + session.place.name.lower())
-        if session.writes:
+        self.counters.add("connections.yielded_" + session.eviction_class.name.lower())
+        if session.is_writing_first_request:
             self.counters.log("connections.yielded_writing", session.describe(now))
-        session.yielded = True
+        session.evicted = True
         session.writer.transport.abort()
 
-    async def _serve(self, number: int, session: ClientSession) -> None:
+    async def _serve(self, session_id: int, session: ClientSession) -> None:
         writer = session.writer
         try:
             await self.handler.serve(session)
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
-            session.waits, session.asked, session.served = self.core.clock.now(), False, False
+            session.waiting_since, session.had_request, session.had_job = self.core.clock.now(), False, False
             writer.close()
             with suppress(OSError, TimeoutError, asyncio.CancelledError):
                 async with asyncio.timeout(tunables.ANSWER_WRITE_TIMEOUT_S):
                     await writer.wait_closed()
             writer.transport.abort()
-            del self.sessions[number]
+            del self.sessions[session_id]
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -1,6 +1,6 @@
-"""Owns the calls to the workers that discovery names, and is the core's port for them.
+"""Calls and probes to the workers that discovery lists; implements the core's call port for them.
 
-It must never decide where a request goes, and never send one a second time by itself.
+Does not choose a request's destination, and never repeats a request by itself.
 """
 
 from __future__ import annotations
@@ -22,73 +22,73 @@
 
 
 class Outbound:
-    """Calls and probes; the port of the destinations that discovery names."""
+    """The call port of the destinations that discovery lists."""
 
     def __init__(self, config: Config, core: Core, counters: Counters) -> None:
         self.core = core
         self.counters = counters
-        self.service = f"{config.listen[0]}:{config.listen[1]}".encode()
+        self.host = f"{config.listen[0]}:{config.listen[1]}".encode()
         self._stale = StaleConnections(counters)
         self.pools = Pools(core.clock, counters, int(config.limits.sockets * tunables.OUTBOUND_SOCKET_SHARE),
                            config.conn_idle_ms * tunables.IDLE_TIMEOUT_SHARE,
                            config.settings.connect_timeout_ms / 1000.0)
         self._answers = AnswerReader(core, counters, config.report_fields)
-        self._prober = Prober(core, config.report_fields, self.service)
+        self._prober = Prober(core, config.report_fields, self.host)
         self._tasks = Tasks(counters)
         self._calls: dict[int, asyncio.Task[None]] = {}
 
-    def _pool(self, destination: Destination) -> Pool:
-        return self.pools.to(address(destination.listed.addr, "addr"))
+    def _pool_for(self, destination: Destination) -> Pool:
+        return self.pools.pool_for(address(destination.listed.addr, "addr"))
 
     async def run(self) -> None:
-        """Close idle connections well before the other side does."""
+        """Close idle connections well before the peer's idle time-out."""
         await self.pools.run()
 
     async def close(self) -> None:
-        """Give back everything."""
+        """Cancel all calls and probes and close the idle connections."""
         await self._tasks.close()
         self.pools.close_idle()
 
     def close_idle(self, destination: Destination) -> None:
-        """Close idle connections."""
-        self._pool(destination).close_idle()
+        """Close the idle connections to a destination."""
+        self._pool_for(destination).close_idle()
 
     def forget(self, destination: Destination) -> None:
-        """The destination is gone or restarted: its pool ends."""
-        with suppress(ValueError):  # an address that never was one has no pool
+        """Discard the pool of a destination that is gone or has restarted."""
+        with suppress(ValueError):  # there is no pool for an invalid address
             self.pools.forget(address(destination.listed.addr, "addr"))
 
     # -- probes --
 
     def probe(self, destination: Destination) -> None:
-        """Ask a worker for its load; the answer follows."""
-        self._tasks.start(self._prober.probe(destination, self._pool(destination)))
+        """Ask a worker for its load; ``Core.probed`` follows."""
+        self._tasks.start(self._prober.probe(destination, self._pool_for(destination)))
 
     # -- calls --
 
     def start(self, call: Call) -> None:
-        """Begin a call."""
-        self._calls[id(call)] = self._tasks.start(self._call(call, self._pool(call.destination)))
+        """Start a call; ``Core.ended`` follows."""
+        self._calls[id(call)] = self._tasks.start(self._run_call(call, self._pool_for(call.destination)))
 
     def cancel(self, call: Call) -> Outcome | None:
-        """Stop waiting for a call; its outcome if it has not begun."""
+        """Cancel a call; returns its outcome if its task has not begun, else ``Core.ended`` follows."""
         task = self._calls.get(id(call))
         if task is None or call.over:
             return None
         task.cancel()
         if call.begun:
             return None
-        # A task that is cancelled before its first step never runs its body, so nobody else would tell the
-        # core of the end, and the request would stay open for ever.
+        # A task that is cancelled before its first step never runs its body. Nothing else would report the end to
+        # the core, and the request would stay open forever.
         del self._calls[id(call)]
         call.over = True
         return Outcome(Status.CANCELLED)
 
-    async def _call(self, call: Call, pool: Pool) -> None:
+    async def _run_call(self, call: Call, pool: Pool) -> None:
         call.begun = True
-        exchange = Exchange(call, pool, self.core, self.counters, self._answers, self._stale, self.service)
+        exchange = Exchange(call, pool, self.core, self.counters, self._answers, self._stale, self.host)
         outcome = await exchange.run()
-        call.over = True  # from here on nothing may call it off: its outcome is on the way
+        call.over = True  # it must not be cancelled any more: its outcome is about to be reported
         del self._calls[id(call)]
         await self.core.post(lambda: self.core.ended(call, outcome))
         await exchange.close()
--- a/gaphub/net/http/pool.py
+++ b/gaphub/net/http/pool.py
@@ -1,6 +1,6 @@
-"""Owns the connections to workers between their uses, and how many there may be together.
+"""Connection pools: keep connections to workers between uses and bound their total number.
 
-It must never write to one, nor read what has come on it.
+Pools do not read from or write to connections.
 """
 
 from __future__ import annotations
@@ -17,124 +17,128 @@
 
 
 class Pool:
-    """Owns the connections to one destination."""
+    """The connections to one destination."""
 
-    def __init__(self, to: Address, owner: Pools) -> None:
-        self.to = to
+    def __init__(self, address: Address, owner: Pools) -> None:
+        self.address = address
         self.owner = owner
         self.idle: list[Connection] = []
-        self.failed_locally_at = -math.inf  # when this machine last failed to make a connection
+        self.failed_locally_at = -math.inf  # when this machine last failed to open a connection
 
     async def acquire(self, new_only: bool = False) -> Connection:
-        """An idle connection, the one used last, or a new one; ConnectionLostError if there is none.
+        """Return the most recently used idle connection, or open one; ConnectionLostError if that fails.
 
-        LocalFailureError where this machine, or the part of its descriptors for workers, has no room for one.
+        Raises LocalFailureError if this machine lacks resources or the share of its descriptors for workers is
+        used up.
         """
         while self.idle and not new_only:
             connection = self.idle.pop()
-            # Guards against settings whose idle time is no longer than the pause between two rounds of the
-            # reaper: the worker's machine has closed such a connection, or is about to.
-            if connection.usable and connection.idle_since >= self.owner.clock.now() - self.owner.idle_ms:
+            # The configured idle time may be shorter than the reaper's interval. The worker's machine has closed
+            # such a connection already, or is about to.
+            if connection.usable and connection.idle_since >= self.owner.clock.now() - self.owner.max_idle_ms:
                 return connection
             self.drop(connection)
         while self.owner.free_sockets <= 0 and await self.owner.make_room():
             pass
         if self.owner.free_sockets <= 0:
-            raise LocalFailureError("out of sockets")
+            raise LocalFailureError("no free descriptors for connections to workers")
         self.owner.free_sockets -= 1
         try:
-            connection = await Connection.connect(self.to, self.owner.connect_s, self._note_local_failure)
+            connection = await Connection.connect(self.address, self.owner.connect_timeout_s,
+                                                  self._record_local_failure)
         except BaseException:
             self.owner.free_sockets += 1
             raise
         self.owner.counters.add("connections.outbound")
         return connection
 
-    def _note_local_failure(self) -> None:
+    def _record_local_failure(self) -> None:
         self.failed_locally_at = self.owner.clock.now()
 
-    def give_back(self, connection: Connection, now: float) -> None:
-        """The one place where a connection comes back: kept if it may be used again."""
-        if connection.reusable and self.owner.has(self):
+    def release(self, connection: Connection, now: float) -> None:
+        """Take a connection back and keep it if it can be reused."""
+        if connection.reusable and self.owner.is_current(self):
             connection.idle_since = now
             self.idle.append(connection)
         else:
             self.drop(connection)
 
     def drop(self, connection: Connection) -> None:
-        """Close a connection; its descriptor is free once the loop has done what the close left to it."""
+        """Close a connection; its descriptor is free only after the event loop has finished the close."""
         connection.close()
         self.owner.closing += 1
-        asyncio.get_running_loop().call_soon(self.owner.closed)
+        asyncio.get_running_loop().call_soon(self.owner.on_closed)
 
     def close_idle(self, before: float = 1e18) -> None:
-        """Close what has been idle since before a time, and what the other side closed."""
-        old = [w for w in self.idle if w.idle_since < before or not w.usable]
-        self.idle = [w for w in self.idle if w not in old]
+        """Close connections that have been idle since before a time or that the peer has closed."""
+        old = [connection for connection in self.idle if connection.idle_since < before or not connection.usable]
+        self.idle = [connection for connection in self.idle if connection not in old]
         for connection in old:
             self.drop(connection)
 
 
 class Pools:
-    """Owns the pools of all destinations; a connection counts as one of ``free_sockets`` until it is closed."""
+    """The pools of all destinations; a connection uses one of ``free_sockets`` until it is closed."""
 
-    def __init__(self, clock: Clock, counters: Counters, free_sockets: int, idle_ms: float,
-                 connect_s: float) -> None:
+    def __init__(self, clock: Clock, counters: Counters, free_sockets: int, max_idle_ms: float,
+                 connect_timeout_s: float) -> None:
         self.clock = clock
         self.counters = counters
-        self.free_sockets = free_sockets  # that may be opened now
-        self.closing = 0  # that were told to close and still hold a descriptor
-        self.idle_ms = idle_ms  # idle for so long, a connection is closed
-        self.connect_s = connect_s
+        self.free_sockets = free_sockets  # how many more may be opened now
+        self.closing = 0  # connections that are being closed and still hold a descriptor
+        self.max_idle_ms = max_idle_ms  # a connection that is idle for longer is closed
+        self.connect_timeout_s = connect_timeout_s
         self._pools: dict[Address, Pool] = {}
 
-    def to(self, to: Address) -> Pool:
-        """The pool of an address."""
-        pool = self._pools.get(to)
+    def pool_for(self, address: Address) -> Pool:
+        """Return the pool of an address, creating it if needed."""
+        pool = self._pools.get(address)
         if pool is None:
-            pool = self._pools[to] = Pool(to, self)
+            pool = self._pools[address] = Pool(address, self)
         return pool
 
-    def has(self, pool: Pool) -> bool:
-        """Whether a pool is that of its address still."""
-        return self._pools.get(pool.to) is pool
+    def is_current(self, pool: Pool) -> bool:
+        """Whether a pool is still the one of its address."""
+        return self._pools.get(pool.address) is pool
 
     def values(self) -> Iterable[Pool]:
         """All pools."""
         return self._pools.values()
 
     async def run(self) -> None:
-        """Close idle connections well before the other side does."""
+        """Close idle connections well before the peer's idle time-out."""
         while True:
             await asyncio.sleep(tunables.REAP_INTERVAL_S)
-            self.close_idle(self.clock.now() - self.idle_ms)
+            self.close_idle(self.clock.now() - self.max_idle_ms)
 
-    def closed(self) -> None:
-        """A connection that was told to close holds no descriptor any longer."""
+    def on_closed(self) -> None:
+        """Account for a connection whose descriptor has been freed."""
         self.closing -= 1
         self.free_sockets += 1
 
     async def make_room(self) -> bool:
-        """Close the idle connections that were used longest ago, a quarter: the sockets are needed elsewhere.
+        """Close the least recently used quarter of the idle connections; False if there are none to close.
 
-        False if there are none.  Guards against a fleet of more workers than sockets, where closing all of them
-        made each second call a handshake, and against a burst that opened as many before one was really closed.
+        Closing all of them would cost a handshake for every second call where there are more workers than sockets.
+        Nothing more is closed while earlier closes are pending: a burst would otherwise open as many new
+        connections before one descriptor is really free.
         """
-        since = [] if self.closing else sorted(w.idle_since for pool in self._pools.values() for w in pool.idle)
-        if since:
-            before = since[len(since) // 4]
+        idle_times = [] if self.closing else sorted(
+            connection.idle_since for pool in self._pools.values() for connection in pool.idle)
+        if idle_times:
+            before = idle_times[len(idle_times) // 4]
             self.close_idle(math.nextafter(before, math.inf))
-        room = self.closing > 0
+        any_closing = self.closing > 0
         await asyncio.sleep(0)
-        return room
+        return any_closing
 
     def close_idle(self, before: float = 1e18) -> None:
-        """Close what has been idle since before a time, and what the other side closed."""
+        """Close connections that have been idle since before a time or that the peer has closed."""
         for pool in self._pools.values():
             pool.close_idle(before)
 
-    def forget(self, to: Address) -> None:
-        """The destination is gone or restarted: its pool ends."""
-        pool = self._pools.pop(to, None)
+    def forget(self, address: Address) -> None:
+        """Discard the pool of a destination that is gone or has restarted."""
+        pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close_idle()
--- a/gaphub/net/http/probe.py
+++ b/gaphub/net/http/probe.py
@@ -1,6 +1,6 @@
-"""Owns the probe of a worker: one question for its load, and what its answer or silence says of it.
+"""Probes of workers: one request for a worker's load, and what its answer or failure means.
 
-It must never decide when a worker is asked, nor what follows.
+Does not decide when a worker is probed or what follows from the result.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from ...messages import Destination
 from ..timeouts import timeout_after_poll
 from . import tunables
-from .answer import parse_load
+from .answer import parse_load_report
 from .connection import Connection, ConnectionLostError, LocalFailureError, NeverWrittenError
 from .pool import Pool
 
 
 class Prober:
-    """Probes workers on the connections of their pools."""
+    """Probes workers on pooled connections."""
 
-    def __init__(self, core: Core, report_fields: tuple[str, ...], service: bytes) -> None:
-        """``service``: the Host that a probe names."""
+    def __init__(self, core: Core, report_fields: tuple[str, ...], host: bytes) -> None:
+        """``host``: the probe's Host header."""
         self.core = core
         self.report_fields = report_fields
-        self.service = service
+        self.host = host
 
     async def probe(self, destination: Destination, pool: Pool) -> None:
-        """Ask a worker for its load, and tell the core what it said or how it failed."""
-        began = self.core.clock.now()
+        """Ask a worker for its load and report the result to the core."""
+        started_at = self.core.clock.now()
         status, report = Status.CONNECT_FAILED, ()
         connection: Connection | None = None
         try:
@@ -37,27 +37,28 @@
                     status = Status.CONNECT_FAILED
                     connection = await pool.acquire()
                     status = Status.RESET
-                    kept = connection.used
+                    reused = connection.used
                     try:
-                        # Guards against what a worker said on it unasked: that would be taken for the probe's
-                        # answer, and the probe's answer for the next request's.
-                        if kept and not await connection.quiet():
+                        # Unsolicited data on the connection would be taken for the probe's answer, and the probe's
+                        # answer for that of the next request.
+                        if reused and not await connection.is_silent():
                             raise NeverWrittenError
-                        await connection.send("GET", "/-/load", [(b"Host", self.service)], b"")
+                        await connection.send("GET", "/-/load", [(b"Host", self.host)], b"")
                         event = await connection.next_event()
                     except (ConnectionLostError, NeverWrittenError):
-                        if not kept or connection.heard:
+                        if not reused or connection.answer_started:
                             raise
-                        # Closed early by the worker's machine, as it may be: that is no word on the worker.
+                        # The worker's machine may close an idle connection at any time, which says nothing about
+                        # the worker.
                         pool.drop(connection)
                         connection = None
                 body = await connection.read_body()
                 if isinstance(event, h11.Response):
                     status = Status.OK if event.status_code == 200 else Status.ERROR
-                    report = parse_load(body, self.report_fields)  # type: ignore[assignment]
+                    report = parse_load_report(body, self.report_fields)  # type: ignore[assignment]
         except TimeoutError:
-            # Guards against blaming a worker for a time that passed while this machine had no connection for it.
-            status = Status.MOOT if pool.failed_locally_at >= began else Status.TIMEOUT
+            # The time during which this machine could not open a connection does not count against the worker.
+            status = Status.MOOT if pool.failed_locally_at >= started_at else Status.TIMEOUT
         except LocalFailureError:
             status = Status.MOOT  # the worker was not asked
         except (ConnectionLostError, NeverWrittenError, h11.LocalProtocolError):
@@ -65,5 +66,5 @@
         finally:
             now = self.core.clock.now()
             if connection is not None:
-                pool.give_back(connection, now)
-        await self.core.post(lambda: self.core.probed(destination, status, now - began, report))
+                pool.release(connection, now)
+        await self.core.post(lambda: self.core.probed(destination, status, now - started_at, report))
--- a/gaphub/net/http/request.py
+++ b/gaphub/net/http/request.py
@@ -1,6 +1,6 @@
-"""Owns the reading of a client's request: what its head and headers must be, and the job that they make.
+"""Validates and parses a client's request into a job.
 
-It is pure: it must never read a socket or a clock, nor decide whether a job is taken.
+Pure: reads no socket and no clock, and does not decide whether the job is accepted.
 """
 
 from __future__ import annotations
@@ -16,83 +16,83 @@
 
 
 class BadRequestError(Exception):
-    """A request that never reaches the core: status and reason."""
+    """A request that is answered with an HTTP error status and never reaches the core."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 _TIMEOUT = re.compile(rb"(\d{1,12})(?:\.\d+)?([mu])")
 _IDENT = re.compile(rb"[!-~]{1,128}")
-_ONCE = (b"x-request-id", b"x-priority-class", b"x-timeout", b"x-attrs", b"x-retried", b"content-length",
-         b"transfer-encoding")
-# Headers of one hop, and those that a scheduler words itself; all others a worker gets as the client sent them.
-_OWN = frozenset((b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"upgrade",
-                  b"expect", b"content-length", b"transfer-encoding", b"x-request-id", b"x-priority-class",
-                  b"x-timeout"))
-_LENGTHS = re.compile(rb"^(?:content-length|transfer-encoding)[ \t]*:", re.I | re.M)
+_SINGLE_HEADERS = (b"x-request-id", b"x-priority-class", b"x-timeout", b"x-attrs", b"x-retried", b"content-length",
+                   b"transfer-encoding")
+# Hop-by-hop headers and those that the scheduler sets itself. A worker gets all others as the client sent them.
+_NOT_FORWARDED = frozenset((b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
+                            b"upgrade", b"expect", b"content-length", b"transfer-encoding", b"x-request-id",
+                            b"x-priority-class", b"x-timeout"))
+_LENGTH_HEADERS = re.compile(rb"^(?:content-length|transfer-encoding)[ \t]*:", re.I | re.M)
 
 
 def check_head(event: h11.Request, raw: bytes) -> None:
-    """Refuse a head that two readers may read differently; BadRequestError names what is at fault.
+    """Reject a head with an ambiguous body length, a repeated header or an oversized body.
 
-    Guards against a request hidden in another's body: with two lengths, or a length and a coding, the
-    worker or the next hop may see its end elsewhere.  h11 prefers the coding and folds equal lengths into
-    one, so the lengths are counted in the bytes that came.
+    With two lengths, or a length and a transfer coding, the worker or the next hop may see the end of the body
+    elsewhere, and a request can be hidden in the body of another (request smuggling). h11 prefers the coding and
+    folds equal lengths into one, so the headers are counted in the raw bytes.
     """
-    if len(_LENGTHS.findall(raw)) > 1:
-        raise BadRequestError(400, "Content-Length and Transfer-Encoding")
+    if len(_LENGTH_HEADERS.findall(raw)) > 1:
+        raise BadRequestError(400, "more than one Content-Length or Transfer-Encoding")
     names = [name for name, _ in event.headers]
-    for name in _ONCE:
+    for name in _SINGLE_HEADERS:
         if names.count(name) > 1:
-            raise BadRequestError(400, f"{name.decode()} comes twice")
+            raise BadRequestError(400, f"{name.decode()} is repeated")
     if dict(event.headers).get(b"content-length", b"0").isdigit():
         if int(dict(event.headers).get(b"content-length", b"0")) > tunables.MAX_BODY_BYTES:
-            raise BadRequestError(413, "body over 64 KiB")
+            raise BadRequestError(413, "body larger than 64 KiB")
 
 
 def parse_job(event: h11.Request, body: bytes, classes: Mapping[str, int], received_at: float,
               reply: Callable[[Answer], None]) -> Job:
-    """A request as the core takes it; BadRequestError if it is none."""
+    """Parse a request into a job; raises BadRequestError if a header is missing or invalid."""
     headers = dict(event.headers)
     ident = headers.get(b"x-request-id", b"")
     if not _IDENT.fullmatch(ident):
-        raise BadRequestError(400, "X-Request-ID")
+        raise BadRequestError(400, "X-Request-ID is missing or invalid")
     class_index = classes.get(headers.get(b"x-priority-class", b"").decode("utf-8", "replace"))
     if class_index is None:
-        raise BadRequestError(400, "X-Priority-Class")
+        raise BadRequestError(400, "X-Priority-Class is missing or unknown")
     timeout = _TIMEOUT.fullmatch(headers.get(b"x-timeout", b""))
     if timeout is None:
-        raise BadRequestError(400, "X-Timeout")
+        raise BadRequestError(400, "X-Timeout is missing or invalid")
     left_ms = float(timeout[1]) / (1.0 if timeout[2] == b"m" else 1000.0)
-    extras = {"slots": 1.0, "memory": 0.0}
+    attributes = {"slots": 1.0, "memory": 0.0}
     for pair in headers.get(b"x-attrs", b"").decode("ascii", "replace").split(","):
         name, _, value = pair.strip().partition("=")
-        if name in extras:
+        if name in attributes:
             if not re.fullmatch(r"\d{1,9}(\.\d{1,9})?", value):
-                raise BadRequestError(400, "X-Attrs")
-            extras[name] = float(value)
+                raise BadRequestError(400, "X-Attrs is invalid")
+            attributes[name] = float(value)
     return Job(ident.decode(), class_index, received_at, left_ms - tunables.TRANSIT_ALLOWANCE_MS, reply, body,
                event.method.decode(), event.target.decode(), parse_key(headers.get(b"cookie", b"")),
-               extras["slots"] or 1.0, extras["memory"], headers.get(b"x-retried") == b"1",
-               passed=passed_on(event))
+               attributes["slots"] or 1.0, attributes["memory"], headers.get(b"x-retried") == b"1",
+               passed=forwarded_headers(event))
 
 
-def passed_on(event: h11.Request) -> tuple[tuple[bytes, bytes], ...]:
-    """The headers that a worker gets as they came.
+def forwarded_headers(event: h11.Request) -> tuple[tuple[bytes, bytes], ...]:
+    """The headers that a worker gets as the client sent them.
 
-    Guards against repeats that a worker cannot know as such: it drops them by an ``Idempotency-Key``, which
-    clients of classes with that effect send.
+    Among them is the ``Idempotency-Key`` that clients of deduplicated classes send: without it a worker could not
+    recognize a repeat and drop it.
     """
-    hop = {name.strip().lower() for key, value in event.headers if key == b"connection"
-           for name in value.split(b",")}
+    hop_by_hop = {name.strip().lower() for key, value in event.headers if key == b"connection"
+                  for name in value.split(b",")}
     return tuple((name, value) for name, value in event.headers.raw_items()
-                 if name.lower() not in _OWN and name.lower() not in hop)
+                 if name.lower() not in _NOT_FORWARDED and name.lower() not in hop_by_hop)
 
 
 def parse_key(cookie: bytes) -> int:
-    """What the request is about: the cookie ``key`` as a number; 0 if there is none."""
+    """The request's key: the cookie ``key`` as a number; 0 if there is none."""
     for part in cookie.split(b";"):
         name, _, value = part.strip().partition(b"=")
         if name == b"key" and value:
--- a/gaphub/net/http/room.py
+++ b/gaphub/net/http/room.py
@@ -1,4 +1,4 @@
-"""Which of the clients' connections make room for newcomers.  Pure: it closes nothing and asks no kernel."""
+"""Which client connections are evicted for new ones. Pure: closes nothing and makes no system call."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .session import ClientSession
 
 
-def who_may_yield(sessions: Iterable[ClientSession], now: float) -> list[ClientSession]:
-    """Those that may make room, the first to go first; ``now`` in ms."""
-    found = [(rank, session) for session in sessions if (rank := session.may_yield(now)) is not None]
-    return [session for _, session in sorted(found, key=itemgetter(0))]
+def eviction_order(sessions: Iterable[ClientSession], now: float) -> list[ClientSession]:
+    """The sessions that may be evicted, in the order of eviction; ``now`` in ms."""
+    ranked = [(rank, session) for session in sessions if (rank := session.eviction_rank(now)) is not None]
+    return [session for _, session in sorted(ranked, key=itemgetter(0))]
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -1,6 +1,6 @@
-"""Owns the state of one client's connection: what has come and been read on it, and whether it may go.
+"""State of one client connection: what was received and read on it, and whether it may be closed.
 
-It must never read a request, nor close anything: its handler and its listener do.
+Does not read requests and closes nothing; its handler and its listener do.
 """
 
 from __future__ import annotations
@@ -18,172 +18,176 @@
 
 
 def closed_by_peer(descriptor: int) -> bool:
-    """Whether the other side has closed or reset a TCP connection, also behind bytes that are unread."""
+    """Whether the peer has closed or reset a TCP connection, even if unread bytes precede the close."""
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 class SessionProtocol(asyncio.StreamReaderProtocol):
-    """An inbound connection's protocol, which notes when its client left though bytes before that are unread."""
+    """Protocol of an inbound connection; records arrivals, and when the client left even if bytes are unread."""
 
     def __init__(self, reader: asyncio.StreamReader, now: Callable[[], float]) -> None:
         super().__init__(reader)
         self.now = now
-        self.left_at = 0.0
-        self.heard = 0  # bytes that have come
-        self.pieces = 0  # in so many segments, or reads from the socket
-        self.heard_at = 0.0  # when the last of them had come to this machine; 0: none have come
-        self.made_at = 0.0  # when the connection was accepted
-        self.read_at = 0.0  # when the last bytes were read from the socket; 0: none have come
+        self.client_left_at = 0.0
+        self.bytes_received = 0
+        self.segments_received = 0  # segments up to the first read, then reads from the socket
+        self.last_received_at = 0.0  # when the last bytes reached this machine; 0: none have
+        self.accepted_at = 0.0
+        self.last_read_at = 0.0  # when the last bytes were read from the socket; 0: none were
         self.arrivals = ArrivalLog()
         self._socket: socket.socket | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is taken in."""
+        """See ``asyncio.BaseProtocol``."""
         self._socket = transport.get_extra_info("socket")
-        self.made_at = self.now()
+        self.accepted_at = self.now()
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come; whoever reads them has yet to be woken."""
-        self.heard += len(data)
+        """Record bytes that were read from the socket; the reading task is yet to be woken."""
+        self.bytes_received += len(data)
         assert self._socket is not None
-        # Guards against a client that goes on writing while it waits to be accepted: all that was read as one
-        # piece, and it was taken for one that begins a request and stops.
-        self.pieces += 1 if self.pieces else max(1, data_segments(self._socket))
-        self.read_at = self.now()
-        self.heard_at = self.read_at - age_ms(self._socket, asyncio.get_running_loop())
-        self.arrivals.note(len(data), self.heard_at)
+        # All that a client writes while it waits to be accepted is read at once. Counting that as one segment
+        # would make a client that is still writing look like one that begins a request and stops.
+        self.segments_received += 1 if self.segments_received else max(1, data_segments(self._socket))
+        self.last_read_at = self.now()
+        self.last_received_at = self.last_read_at - age_ms(self._socket, asyncio.get_running_loop())
+        self.arrivals.note(len(data), self.last_received_at)
         super().data_received(data)
 
     def eof_received(self) -> bool | None:
-        """The client has ended its sending: it has gone away."""
-        self.left_at = self.left_at or self.now()
+        """Treat a half-close by the client as its leaving."""
+        self.client_left_at = self.client_left_at or self.now()
         return super().eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is lost, or we have closed it."""
-        self.left_at = self.left_at or self.now()
+        """Record that the connection was lost, or closed by this side."""
+        self.client_left_at = self.client_left_at or self.now()
         super().connection_lost(exc)
 
 
-class Place(IntEnum):
-    """Among those that make room for newcomers, the first to go first; index of ``tunables.EVICTION_IDLE_MS``."""
+class EvictionClass(IntEnum):
+    """Classes of connections in the order of eviction; the index of ``tunables.EVICTION_IDLE_MS``."""
 
-    SILENT = 0  # nothing has come
-    BEGUN = 1  # a piece of a first request, or no request but a GET
-    GOOD = 2  # has carried a job, or goes on writing its first request
+    SILENT = 0  # nothing was received
+    BEGUN = 1  # part of a first request, or only requests that are not jobs
+    GOOD = 2  # has carried a job, or its first request is still being written
 
 
 class ClientSession:
-    """One inbound connection; its handler task is its owner."""
+    """One inbound connection, owned by its handler task."""
 
-    __slots__ = ("reader", "writer", "protocol", "since", "waits", "asked", "served", "yielded", "halfway",
-                 "flooded", "taken", "ahead")
+    __slots__ = ("reader", "writer", "protocol", "connected_at", "waiting_since", "had_request", "had_job",
+                 "evicted", "mid_request", "flooded", "bytes_read", "read_ahead")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, protocol: SessionProtocol,
-                 since: float) -> None:
-        """``since``: when it was connected, as far as that is known."""
+                 connected_at: float) -> None:
+        """``connected_at``: when the connection was made, as far as the kernel tells."""
         self.reader = reader
         self.writer = writer
         self.protocol = protocol
-        self.since = since
-        self.waits: float | None = since  # since when the client is to send something; None: we are at work
-        self.asked = False  # has carried a whole good request
-        self.served = False  # has carried a job
-        self.yielded = False  # was made to go, and is about to
-        self.halfway = False  # a request has begun to come and is not whole
-        self.flooded = False  # sent so much past a request that it was dropped; an answer, and it ends
-        self.taken = 0  # bytes that were read from it
-        self.ahead = 0  # of them kept past the open request, as the handler has accounted for them
+        self.connected_at = connected_at
+        # Since when the next bytes are expected from the client; None while a request is being handled.
+        self.waiting_since: float | None = connected_at
+        self.had_request = False  # has carried a complete valid request
+        self.had_job = False  # has carried a job
+        self.evicted = False  # is being closed to make room
+        self.mid_request = False  # part of a request was received
+        # Sent so much past its open request that input was discarded. It is closed after the answer.
+        self.flooded = False
+        self.bytes_read = 0
+        self.read_ahead = 0  # bytes kept past the open request, as accounted for by the handler
 
     async def read(self) -> bytes:
-        """What has come, as soon as anything has; empty at the end."""
+        """Return received bytes as soon as there are any; empty at the end of the stream."""
         data = await self.reader.read(tunables.READ_CHUNK_BYTES)
-        self.taken += len(data)
+        self.bytes_read += len(data)
         return data
 
     def arrived_at(self, http: h11.Connection, now: float) -> float:
-        """When the first byte that ``http`` has yet to parse had come to this machine; ``now`` at the latest."""
-        known = self.protocol.arrivals.of(self.taken - len(http.trailing_data[0]))
+        """When the first byte that ``http`` has not parsed yet reached this machine; at most ``now``."""
+        known = self.protocol.arrivals.of(self.bytes_read - len(http.trailing_data[0]))
         return now if known is None else min(now, known)
 
     @property
-    def unread(self) -> bool:
-        """Whether bytes have come to this process that its handler has yet to read."""
-        return self.protocol.heard > self.taken
+    def has_unread(self) -> bool:
+        """Whether this process has received bytes that the handler has not read yet."""
+        return self.protocol.bytes_received > self.bytes_read
 
     def has_read_ahead(self, http: h11.Connection) -> bool:
-        """Whether this process has read bytes past the present request.
+        """Whether this process has read bytes past the current request.
 
-        Guards against requests that a client sent ahead and that went with their connection, read and unanswered,
-        because the answer before them closed it.
+        If the current answer closed the connection, pipelined requests that were already read would be lost
+        without an answer.
         """
-        return bool(http.trailing_data[0]) or self.unread
+        return bool(http.trailing_data[0]) or self.has_unread
 
-    def left(self) -> float:
-        """Since when the client is known to have closed its side or the connection to be lost; 0: it is there.
+    def client_left_at(self) -> float:
+        """When the client was found to have closed its side or the connection to be lost; 0 if neither.
 
-        Guards against a burst that keeps this process at work: a close lies in the kernel behind what has yet to
-        be read, and is read a turn of the event loop after the request before it.  So the kernel is asked.
+        Asks the kernel too: a close lies behind unread bytes there, and is read one turn of the event loop after
+        the request before it. A burst that keeps this process busy would make that late.
         """
-        if not self.protocol.left_at and closed_by_peer(self.sock.fileno()):
-            self.protocol.left_at = self.protocol.now()
-        return self.protocol.left_at
+        if not self.protocol.client_left_at and closed_by_peer(self.sock.fileno()):
+            self.protocol.client_left_at = self.protocol.now()
+        return self.protocol.client_left_at
 
     def may_close(self, before: float) -> bool:
-        """Whether nothing is on its way on a connection that has waited since before a time.
+        """Whether the connection has been idle since before a time, with nothing in transit in this process.
 
-        Guards against an answer that is still being taken, or a request that is half here or whole and not
-        looked at yet, when we leave: what this process has read is owed an answer.  What lies in the kernel is
-        looked at by the caller.
+        When this process shuts down, all that it has read is owed an answer. So a connection stays open while an
+        answer is being written, or a request was partly received, or was received and not looked at yet. The
+        caller checks for bytes that are still in the kernel.
         """
-        return (self.waits is not None and self.waits < before and not self.halfway and not self.unread
+        return (self.waiting_since is not None and self.waiting_since < before
+                and not self.mid_request and not self.has_unread
                 and not self.writer.transport.get_write_buffer_size())
 
-    def may_yield(self, now: float) -> tuple[Place, float] | None:
-        """Its place among those that make room for a newcomer and since when it is idle; None: it stays.
+    def eviction_rank(self, now: float) -> tuple[EvictionClass, float] | None:
+        """Class and time of last activity, which order evictions; None if it may not be evicted now.
 
-        Guards against crowds that hold connections and send nothing, begin a request or asked once and stay:
-        without this they filled the clients' part, and jobs were refused for want of a connection.  Who goes on
-        with a first request is told from those by its second piece.
+        Without evictions, clients that connect and send nothing, begin a request, or stay after one request would
+        use up the clients' share of descriptors, and jobs would be refused for lack of a connection. A client that
+        is still writing its first request differs from those by a second segment.
         """
-        if self.waits is None or self.yielded or self.unread:
+        if self.waiting_since is None or self.evicted or self.has_unread:
             return None
         if (self.writer.transport.get_write_buffer_size()
-                and now - self.waits < tunables.ANSWER_WRITE_TIMEOUT_S * 1000.0):
-            return None  # its answer is still being taken
-        place, protocol = self.place, self.protocol
-        since = max(self.waits, protocol.heard_at)  # who still writes goes after who says nothing
-        seen_at = max(since, protocol.made_at, protocol.read_at)
-        if (now - seen_at < tunables.EVICTION_IDLE_MS[place]
-                and now - since < tunables.EVICTION_KERNEL_IDLE_MS[place]):
+                and now - self.waiting_since < tunables.ANSWER_WRITE_TIMEOUT_S * 1000.0):
+            return None  # the client is still reading its answer
+        eviction_class, protocol = self.eviction_class, self.protocol
+        idle_since = max(self.waiting_since, protocol.last_received_at)  # one that is still writing goes later
+        seen_at = max(idle_since, protocol.accepted_at, protocol.last_read_at)
+        if (now - seen_at < tunables.EVICTION_IDLE_MS[eviction_class]
+                and now - idle_since < tunables.EVICTION_KERNEL_IDLE_MS[eviction_class]):
             return None
-        return place, since
+        return eviction_class, idle_since
 
     @property
-    def place(self) -> Place:
-        """What it has carried so far."""
-        if self.served or self.writes:
-            return Place.GOOD
-        return Place.BEGUN if self.protocol.pieces else Place.SILENT
+    def eviction_class(self) -> EvictionClass:
+        """Class by what the connection has carried so far."""
+        if self.had_job or self.is_writing_first_request:
+            return EvictionClass.GOOD
+        return EvictionClass.BEGUN if self.protocol.segments_received else EvictionClass.SILENT
 
     @property
-    def writes(self) -> bool:
-        """Whether it goes on with a first request."""
-        return self.protocol.pieces > 1 and not self.asked
+    def is_writing_first_request(self) -> bool:
+        """Whether the client's first request has come in several segments and is not complete."""
+        return self.protocol.segments_received > 1 and not self.had_request
 
     @property
     def sock(self) -> socket.socket:
-        """Its socket, to be asked or ended; the transport owns it."""
+        """The socket, for queries and shutdown(2); the transport owns it."""
         found: socket.socket = self.writer.get_extra_info("socket")
         return found
 
     def describe(self, now: float) -> str:
-        """Its state, for the log."""
-        heard = self.protocol.heard_at
-        last = f"the last {now - heard:.0f} ms ago" if heard else "none yet"
+        """State of the connection for the log."""
+        received_at = self.protocol.last_received_at
+        last = f"the last {now - received_at:.0f} ms ago" if received_at else "none yet"
         by_kernel = since_last_data_ms(self.sock)
-        return (f"open for {now - self.since:.0f} ms, {self.protocol.heard} bytes in {self.protocol.pieces} parts,"
-                f" {last}, by the kernel {by_kernel} ms ago")
+        return (f"open for {now - self.connected_at:.0f} ms, {self.protocol.bytes_received} bytes received"
+                f" in {self.protocol.segments_received} segments, {last}; last data by the kernel's count"
+                f" {by_kernel} ms ago")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -126,7 +126,7 @@
     post = Core.post
 
     async def late(core: Core, message: Callable[[], None]) -> None:
-        if "_wait" in getattr(message, "__qualname__", ""):
+        if "_wait_for_answer" in getattr(message, "__qualname__", ""):
             held.append(message)
         else:
             await post(core, message)
@@ -287,15 +287,15 @@
 
 # A request that was sent ahead is not begun if its client has gone by the time that its turn comes.
 def test_a_request_sent_ahead_is_not_begun_for_a_client_that_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    write = http.RequestHandler._write
+    write = http.RequestHandler._write_answer
 
     async def slow(self: http.RequestHandler, h: Any, session: http.ClientSession, *more: Any) -> None:
         await write(self, h, session, *more)
         async with asyncio.timeout(5.0):
-            while not session.left():
+            while not session.client_left_at():
                 await asyncio.sleep(0.001)
 
-    monkeypatch.setattr(http.RequestHandler, "_write", slow)
+    monkeypatch.setattr(http.RequestHandler, "_write_answer", slow)
     play(ONE + """
         c send job poloha r1 0123456789
         w expect 0123456789
@@ -416,14 +416,14 @@
 
 # The deadline passes just as the last byte is handed over: it may have run, so "never ran" would be untrue.
 def test_a_deadline_that_passes_as_the_last_byte_leaves_is_no_proof(monkeypatch: pytest.MonkeyPatch) -> None:
-    finish = http.Connection.finish
+    finish = http.Connection.send_last_byte
 
     async def slow(self: http.Connection, last: bytes) -> None:
         await finish(self, last)
         await asyncio.sleep(30.0)
 
     send = Core.send
-    monkeypatch.setattr(http.Connection, "finish", slow)
+    monkeypatch.setattr(http.Connection, "send_last_byte", slow)
     monkeypatch.setattr(Core, "send", lambda core, request, worker, _: send(core, request, worker, 400.0))
     monkeypatch.setattr(Core, "_call_off", lambda core, call: None)  # the port's own clock is first
     play(ONE + """
@@ -545,12 +545,12 @@
 @pytest.mark.parametrize("text", [b"queue=nan,x0=1", b"queue=1,x0=-inf", b"queue=1e999,x0=1",
                                   b'{"queue":1e400,"x0":1}'])
 def test_a_report_that_holds_no_number_is_none(text: bytes) -> None:
-    assert http.parse_load(text, ("queue", "x0")) == ()
-    assert http.parse_load(b"queue=1,x0=-0.5", ("queue", "x0")) == (1.0, -0.5)
+    assert http.parse_load_report(text, ("queue", "x0")) == ()
+    assert http.parse_load_report(b"queue=1,x0=-0.5", ("queue", "x0")) == (1.0, -0.5)
 
 
 # Whatever raises in a call's own code ends the attempt as what is true of it.
-@pytest.mark.parametrize(("where", "ends"), [("begin", "connect_failed"), ("next_event", "reset")])
+@pytest.mark.parametrize(("where", "ends"), [("send_up_to_last_byte", "connect_failed"), ("next_event", "reset")])
 def test_a_call_that_raises_ends_all_the_same(where: str, ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # Discovery's stays as it is.
     monkeypatch.setattr(destinations, "Connection", type("Apart", (http.Connection,), {}))
@@ -673,7 +673,7 @@
 
     async def late(self: http.ClientSession) -> bytes:
         if not crossed:
-            while not self.unread:
+            while not self.has_unread:
                 await asyncio.sleep(0.001)
             crossed.append(self)
             raise TimeoutError
@@ -688,7 +688,7 @@
 def test_a_request_that_was_read_as_its_connection_was_to_close_is_served(
         closer: str, monkeypatch: pytest.MonkeyPatch) -> None:
     inbounds: list[http.Inbound] = []
-    take_in, received = http.Inbound._take_in, http.SessionProtocol.data_received
+    take_in, received = http.Inbound._open_session, http.SessionProtocol.data_received
 
     async def noted(self: http.Inbound, sock: socket.socket) -> None:
         inbounds.append(self)
@@ -698,11 +698,11 @@
         received(self, data)
         if b"r2" in data:
             if closer == "leaving":
-                inbounds[0]._close_resting(1e18)
+                inbounds[0]._close_idle(1e18)
             else:
-                assert not inbounds[0]._make_room()
+                assert not inbounds[0]._evict()
 
-    monkeypatch.setattr(http.Inbound, "_take_in", noted)
+    monkeypatch.setattr(http.Inbound, "_open_session", noted)
     monkeypatch.setattr(http.SessionProtocol, "data_received", crossed)
     monkeypatch.setattr(http, "EVICTION_IDLE_MS", (0.0, 0.0, 0.0))
     play(ONE + """
@@ -747,12 +747,12 @@
         writer = asyncio.StreamWriter(transport, protocol, reader, loop)
         session = http.ClientSession(reader, writer, protocol, 0.0)
         assert session.may_close(1.0) and not session.may_close(0.0)
-        assert session.may_yield(5000.0)
+        assert session.eviction_rank(5000.0)
         ends[1].setblocking(False)
         size = 16_000_000
         writer.write(b"x" * size)
-        assert not session.may_close(1.0) and session.may_yield(5000.0) is None
-        assert session.may_yield(1e9)  # who takes nothing for long makes room all the same
+        assert not session.may_close(1.0) and session.eviction_rank(5000.0) is None
+        assert session.eviction_rank(1e9)  # who takes nothing for long makes room all the same
         got = 0
         async with asyncio.timeout(5.0):
             while got < size:
@@ -784,7 +784,7 @@
             cast.file = json.dumps(file).encode()
             cast.reload.asked.set()
             await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
-            assert left[0].ends_at - left[0].told_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
+            assert left[0].deadline - left[0].started_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
 
     asyncio.run(run())
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -298,23 +298,23 @@
 
     async def run() -> None:
         sessions: list[ClientSession] = []
-        take_in = Inbound._take_in
+        take_in = Inbound._open_session
 
         async def noted(self: Inbound, sock: socket.socket) -> None:
             await take_in(self, sock)
             sessions.extend(self.sessions.values())
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Inbound, "_take_in", noted)
+            patch.setattr(Inbound, "_open_session", noted)
             async with Cast() as cast:
                 with socket.create_connection(cast.config.listen) as client:
                     for piece in (b"POST ", b"/api ", b"HTTP/1.1"):
                         client.sendall(piece)
                         time.sleep(PIECE_S)  # the event loop stands: nobody accepts
                     async with asyncio.timeout(WITHIN_S):
-                        while not (sessions and sessions[0].protocol.heard):
+                        while not (sessions and sessions[0].protocol.bytes_received):
                             await asyncio.sleep(0.01)
-                    assert sessions[0].writes
+                    assert sessions[0].is_writing_first_request
 
     asyncio.run(run())
 
@@ -336,18 +336,18 @@
                 with socket.create_connection(cast.config.listen) as client:
                     client.sendall(HALF_A_HEAD)
                     async with asyncio.timeout(WITHIN_S):
-                        while not (inbounds[0].sessions and inbounds[0].sessions[1].protocol.heard):
+                        while not (inbounds[0].sessions and inbounds[0].sessions[1].protocol.bytes_received):
                             await asyncio.sleep(0.01)
                         session = inbounds[0].sessions[1]
-                        while session.unread:
+                        while session.has_unread:
                             await asyncio.sleep(0.01)
-                    session.halfway = False
+                    session.mid_request = False
                     client.setblocking(False)
                     patch.setattr(tunables, "EVICTION_IDLE_MS", (0.0, 0.0, 0.0))
                     if closer == "leaving":
-                        inbounds[0]._close_resting(1e18)
+                        inbounds[0]._close_idle(1e18)
                     else:
-                        assert inbounds[0]._make_room()
+                        assert inbounds[0]._evict()
                     assert client.recv(1) == b""  # BlockingIOError where the end is not on its way yet
 
     asyncio.run(run())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -150,7 +150,7 @@
     without asking for room.
     """
     kept: list[int] = []
-    account = RequestHandler._account_for
+    account = RequestHandler._set_read_ahead
 
     def noted(self: RequestHandler, session: ClientSession, ahead: int) -> None:
         account(self, session, ahead)
@@ -160,7 +160,7 @@
         job.reply(Answer(Ending.REFUSED))
         return True
 
-    monkeypatch.setattr(RequestHandler, "_account_for", noted)
+    monkeypatch.setattr(RequestHandler, "_set_read_ahead", noted)
     monkeypatch.setattr(Core, "offer", answer_at_once)
 
     async def run() -> None:
