--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -16,8 +16,8 @@
 from ...messages import Fence
 from ...metrics import Counters
 from ...tasks import Tasks
-from ..arrival import since_connected_ms
-from ..listener import BACKLOG, BACKLOG_ENDING, DEFERRED_MS, Acceptor, defer_silent, shut_if_silent
+from ..arrival import connection_age_ms
+from ..listener import BACKLOG, DEFER_FLUSH_MS, SHUTDOWN_BACKLOG, Acceptor, set_defer_accept, shutdown_if_idle
 from . import reuseport, tunables
 from .drain import Drain
 from .handler import RequestHandler
@@ -70,8 +70,8 @@
         # Without deferring, many clients that connect and send nothing would take up the connections, and a client
         # whose own machine is late to write would be evicted with its request unread. Not used if this process,
         # when it shuts down, would have no time to accept those that the kernel holds back.
-        if self.drain.duration_ms(self._longest_deadline_ms()) >= DEFERRED_MS:
-            self._defers_accept = defer_silent(listener, True)
+        if self.drain.duration_ms(self._longest_deadline_ms()) >= DEFER_FLUSH_MS:
+            self._defers_accept = set_defer_accept(listener, True)
         if self.reuse_port:
             reuseport.restore_default(listener)  # an earlier process may have directed all to its successor
         self._acceptor = Acceptor(listener, self, self.counters, "connections")
@@ -87,15 +87,15 @@
         self._accept_task.cancel()
         await asyncio.wait([self._accept_task])
         deadline = self.drain.deadline + tunables.DRAIN_LAST_ACCEPT_MS
-        if left := await self._acceptor.finish(lambda: self.core.clock.now() > deadline):
+        if left := await self._acceptor.drain_and_close(lambda: self.core.clock.now() > deadline):
             self.counters.log("connections.left_waiting", f"{left} connections not accepted at shutdown")
         self._acceptor = self._listener = None
 
     def _stop_deferring(self) -> None:
         """Have the kernel hand over held-back connections, which closing the listener would reset."""
         if self._defers_accept and self._listener is not None:
-            self._defers_accept = defer_silent(self._listener, False)
-            self._deferred_until = self.core.clock.now() + DEFERRED_MS
+            self._defers_accept = set_defer_accept(self._listener, False)
+            self._deferred_until = self.core.clock.now() + DEFER_FLUSH_MS
 
     async def shut_down(self, others_serve: Callable[[], bool], successor: bool = False,
                         listener_index: int = reuseport.SECOND) -> None:
@@ -131,7 +131,7 @@
         if self._listener is not None:
             # Connections that are queued when the listener closes must all be accepted. A short queue keeps many
             # clients from filling it up to the end.
-            self._listener.listen(BACKLOG_ENDING)
+            self._listener.listen(SHUTDOWN_BACKLOG)
         while True:
             while self.sessions or self._starting_sessions or self.core.open_jobs:
                 self.drain.shorten(self._longest_deadline_ms())
@@ -169,7 +169,7 @@
         already in the kernel, so the kernel is checked for unread bytes.
         """
         for session in list(self.sessions.values()):
-            if session.may_close(before) and shut_if_silent(session.sock):
+            if session.may_close(before) and shutdown_if_idle(session.sock):
                 session.writer.transport.abort()
 
     async def close(self) -> None:
@@ -190,7 +190,7 @@
             self._close_unfinished()
         return self._evict(wanted)
 
-    def take_in(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         """Serve an accepted connection."""
         sock.setblocking(False)
         self._starting_sessions += 1
@@ -204,7 +204,7 @@
 
     async def _open_session(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        connected_at = self.core.clock.now() - since_connected_ms(sock)
+        connected_at = self.core.clock.now() - connection_age_ms(sock)
         try:
             reader = asyncio.StreamReader(limit=tunables.RECEIVE_BUFFER_BYTES)
             protocol = SessionProtocol(reader, self.core.clock.now)
@@ -231,7 +231,7 @@
         for session in eviction_order(self.sessions.values(), now):
             if wanted <= 0:
                 break
-            if not shut_if_silent(session.sock):
+            if not shutdown_if_idle(session.sock):
                 self.counters.add("connections.not_yielded")
                 continue
             self._evict_session(session, now)
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from ..arrival import ArrivalLog, age_ms, data_segments, since_last_data_ms
+from ..arrival import ArrivalLog, data_age_ms, received_segments, since_last_data_ms
 from . import tunables
 
 
@@ -51,10 +51,10 @@
         assert self._socket is not None
         # All that a client writes while it waits to be accepted is read at once. Counting that as one segment
         # would make a client that is still writing look like one that begins a request and stops.
-        self.segments_received += 1 if self.segments_received else max(1, data_segments(self._socket))
+        self.segments_received += 1 if self.segments_received else max(1, received_segments(self._socket))
         self.last_read_at = self.now()
-        self.last_received_at = self.last_read_at - age_ms(self._socket, asyncio.get_running_loop())
-        self.arrivals.note(len(data), self.last_received_at)
+        self.last_received_at = self.last_read_at - data_age_ms(self._socket, asyncio.get_running_loop())
+        self.arrivals.record(len(data), self.last_received_at)
         super().data_received(data)
 
     def eof_received(self) -> bool | None:
@@ -108,7 +108,7 @@
 
     def arrived_at(self, http: h11.Connection, now: float) -> float:
         """When the first byte that ``http`` has not parsed yet reached this machine; at most ``now``."""
-        known = self.protocol.arrivals.of(self.bytes_read - len(http.trailing_data[0]))
+        known = self.protocol.arrivals.time_of(self.bytes_read - len(http.trailing_data[0]))
         return now if known is None else min(now, known)
 
     @property
