--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where two events cross: each row of docs/design/crossings.md, forced over loopback sockets in either order."""
+"""Races between two events: each row of docs/design/crossings.md, forced in either order over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,22 +27,23 @@
 from .scenario import CLASSES, SETTINGS, Cast, free_port, play
 from .test_gearman import FRONTS, WORKER
 
-ONE = "d expect index=41\n"
+WATCH_OPENED = "d expect index=41\n"
 ROOT = Path(__file__).resolve().parent.parent
-DEEP = "[" * 20_000  # JSON that nests deeper than the decoder goes, which it says by another error than others
+# Nested too deeply for the decoder, which raises another error for it than for other faults.
+DEEPLY_NESTED = "[" * 20_000
 
-SERVED = ONE + "c send job poloha r1\nw expect r1\nw send lines r1 done=one .\nc expect 200 .*one"
+SERVED = WATCH_OPENED + "c send job poloha r1\nw expect r1\nw send lines r1 done=one .\nc expect 200 .*one"
 
 
-def whole(body: str) -> str:
-    """A step that sends a whole answer of 200."""
+def full_answer(body: str) -> str:
+    """A step that sends a complete answer with status 200."""
     return f"send HTTP/1.1 200 OK\\r\\nContent-Length: {len(body)}\\r\\n\\r\\n{body}"
 
 
-def no_list(body: str) -> str:
-    """A course in which discovery says this, which is no list, and the old one holds."""
+def invalid_list(body: str) -> str:
+    """A scenario in which discovery answers with an invalid list and the old list stays in force."""
     return f"""
-        d {whole(body)}
+        d {full_answer(body)}
         d expect index=41
         count garbled.list 1
         c send job poloha r1
@@ -54,7 +55,7 @@
 
 # --- a client leaves ---------------------------------------------------------------------------------
 
-LEAVES = {
+CLIENT_LEAVES = {
     "while its request waits for a connection": """
         hold w
         c send job poloha r1
@@ -112,14 +113,14 @@
 }
 
 
-@pytest.mark.parametrize("name", LEAVES)
+@pytest.mark.parametrize("name", CLIENT_LEAVES)
 def test_a_client_leaves(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
     limits = {**SETTINGS["limits"], "dialTimeout": 4000.0}
-    play(ONE + LEAVES[name], settings={"limits": limits})
+    play(WATCH_OPENED + CLIENT_LEAVES[name], settings={"limits": limits})
 
 
-# The leaving is known to the front but has not reached the core, which is busy with the end of the attempt.
+# The front knows that the client left, but the core is busy with the end of the attempt and does not know it yet.
 @pytest.mark.parametrize("ends", ["close", "send status 503 X-Not-Processed:1", "send lines r1 lost ."])
 def test_a_client_leaves_between_two_attempts(ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
     held: list[Callable[[], None]] = []
@@ -135,7 +136,7 @@
 
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + """
+            await cast.play(WATCH_OPENED + """
                 c send job poloha r1
                 w expect r1
                 d send list 42 changes x=active
@@ -146,13 +147,13 @@
                 while not held:
                     await asyncio.sleep(0.001)
             await cast.play(f"w {ends}\ncount requests.client_gone 1\ncount calls.sent 1\nx silent")
-            held[0]()  # late: counted once
+            held[0]()  # delivered late, it must be counted once
             await cast.play("count requests.client_gone 1\ncount requests.refused 0\ncount calls.sent 1")
 
     asyncio.run(run())
 
 
-GEARMAN_LEAVES = {
+GEARMAN_CLIENT_LEAVES = {
     "while its job waits for a grab": f"""{WORKER}
         g2 send 7 FUNCTION|u1|old
         g expect #6
@@ -173,11 +174,11 @@
 }
 
 
-# A job with a unique that only waited is not begun for a client that left; submitted again it is a new one.
+# A waiting job with a unique key is not started for a client that left; submitted again, it is a new job.
 @pytest.mark.parametrize("function", ["pos", "pay"])
-@pytest.mark.parametrize("name", GEARMAN_LEAVES)
+@pytest.mark.parametrize("name", GEARMAN_CLIENT_LEAVES)
 def test_a_gearman_client_leaves(name: str, function: str) -> None:
-    play(GEARMAN_LEAVES[name].replace("FUNCTION", function) + f"""
+    play(GEARMAN_CLIENT_LEAVES[name].replace("FUNCTION", function) + f"""
         g send 4
         g3 send 7 {function}|u1|new
         g3 expect #8
@@ -191,7 +192,7 @@
     """, known="", fronts=FRONTS)
 
 
-# The core has yet to hear of the leaving: a worker's grab, or the core's own answer, comes first.
+# The core does not know yet that the client left: a worker's grab, or the core's own answer, comes first.
 @pytest.mark.parametrize("unique", ["", "u1"])
 @pytest.mark.parametrize("first", ["grab", "answer"])
 def test_a_gearman_client_leaves_and_the_core_hears_of_it_late(
@@ -216,7 +217,7 @@
                     await asyncio.sleep(0.001)
                 if first == "grab":
                     await cast.play("g send 9\ng expect #10\ncount calls.moot 1\ncount gearman.assigned 0")
-                while cores[0].open_jobs:  # its deadline, or what the grab brought
+                while cores[0].open_jobs:  # until its deadline, or until the grab has ended it
                     await asyncio.sleep(0.01)
             held[0]()
             front = cores[0].ports["gearman"]
@@ -227,12 +228,12 @@
 
 
 def left(folder: Path) -> tuple[int, int]:
-    """How many clients left while they waited, by the logs of a folder, and for how many a call began later."""
+    """By the logs of a folder: how many clients left while waiting, and for how many a call was started later."""
     answers = Answers(young_ms=9_000.0).take_all(requests.read(folder))
     return answers.waiting, answers.later
 
 
-# What a play's log counts: clients that left while their requests waited, and calls that began 0.3 s later.
+# The log evaluation counts clients that left while waiting, and calls that started 0.3 s or more after that.
 def test_the_log_counts_who_left_and_what_was_sent_on_later(tmp_path: Path) -> None:
     lines: list[str] = []
 
@@ -240,7 +241,7 @@
         scheduler = Cast(fronts="[log]\nrequests = true\n")
         scheduler.counters.line = lambda name, text: lines.append(f"1.5 gaphub: {name}: {text}\n")
         async with scheduler as cast:
-            await cast.play(ONE + """
+            await cast.play(WATCH_OPENED + """
                 c send job poloha r1
                 w expect r1
                 c close
@@ -262,21 +263,21 @@
         assert left(tmp_path) == (1, counted)
 
 
-# The port has been given the call, and its task has not taken its first step: its body never runs.
+# The port has the call, but the call's task has not taken its first step: its body never runs.
 def test_a_call_called_off_before_its_first_step_ends_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
     cores: list[Core] = []
     start = http.Outbound.start
 
-    def crossed(self: http.Outbound, call: Call) -> None:
+    def cross(self: http.Outbound, call: Call) -> None:
         start(self, call)
         cores.append(self.core)
         self.core._later.append(lambda: self.core.gone(call.job))
 
-    monkeypatch.setattr(http.Outbound, "start", crossed)
+    monkeypatch.setattr(http.Outbound, "start", cross)
 
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send job vyuctovani r1\ncount calls.cancelled 1\nw silent")
+            await cast.play(WATCH_OPENED + "c send job vyuctovani r1\ncount calls.cancelled 1\nw silent")
             assert cores[0].open_jobs == 0
             port = cores[0].ports["discovery"]
             assert isinstance(port, http.Outbound) and not port._calls
@@ -285,7 +286,7 @@
     asyncio.run(run())
 
 
-# A request that was sent ahead is not begun if its client has gone by the time that its turn comes.
+# A pipelined request is not started if its client has left by the time its turn comes.
 def test_a_request_sent_ahead_is_not_begun_for_a_client_that_left(monkeypatch: pytest.MonkeyPatch) -> None:
     write = http.RequestHandler._write_answer
 
@@ -296,7 +297,7 @@
                 await asyncio.sleep(0.001)
 
     monkeypatch.setattr(http.RequestHandler, "_write_answer", slow)
-    play(ONE + """
+    play(WATCH_OPENED + """
         c send job poloha r1 0123456789
         w expect 0123456789
         c send job poloha r2
@@ -310,9 +311,9 @@
     """)
 
 
-# --- what a call waited through ------------------------------------------------------------------------
+# --- events while a call waits -------------------------------------------------------------------------
 
-WAITED = {
+WHILE_WAITING = {
     "its worker begins to drain before the first byte: it goes elsewhere": """
         d send list 42 changes w=leaving x=active
         d expect index=42
@@ -353,15 +354,16 @@
 
 
 @pytest.mark.parametrize("job", ["poloha", "vyuctovani"])
-@pytest.mark.parametrize("name", WAITED)
+@pytest.mark.parametrize("name", WHILE_WAITING)
 def test_what_a_call_waited_through(name: str, job: str) -> None:
     limits = {**SETTINGS["limits"], "dialTimeout": 4000.0}
-    play(ONE + f"hold w\nc send job {job} r1\ncount calls.sent 1\n" + WAITED[name], settings={"limits": limits})
+    play(WATCH_OPENED + f"hold w\nc send job {job} r1\ncount calls.sent 1\n" + WHILE_WAITING[name],
+         settings={"limits": limits})
 
 
 def test_a_drain_after_the_first_byte_does_not_stop_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.3)
-    play(ONE + """
+    play(WATCH_OPENED + """
         c send job vyuctovani r1 0123456789
         w expect POST .*012345678
         d send list 42 changes w=leaving x=active
@@ -374,7 +376,7 @@
 
 
 def test_a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing() -> None:
-    play(ONE + """
+    play(WATCH_OPENED + """
         hold w
         c send job vyuctovani r1
         count calls.sent 1
@@ -390,12 +392,13 @@
     """)
 
 
-KEYED = [{"name": "poloha", "slo": 500.0, "deadline": 5000.0, "idempotency": "deduplicated", "window": 300.0}]
+DEDUPLICATED = [
+    {"name": "poloha", "slo": 500.0, "deadline": 5000.0, "idempotency": "deduplicated", "window": 300.0}]
 
 
-# A repeat is harmless within the class's window; while it waits for its connection that ends.
+# A repeat is harmless within the class's deduplication window, which ends while the repeat waits for a connection.
 def test_the_window_of_a_repeat_ends_while_it_waits_for_its_connection() -> None:
-    play(ONE + """
+    play(WATCH_OPENED + """
         hold x
         c send job poloha r1
         w expect r1
@@ -409,12 +412,12 @@
         count calls.pointless 1
         x expect-close
         x silent
-    """, settings={"grades": KEYED, "limits": {**SETTINGS["limits"], "dialTimeout": 4000.0}})
+    """, settings={"grades": DEDUPLICATED, "limits": {**SETTINGS["limits"], "dialTimeout": 4000.0}})
 
 
 # --- retries and outcomes -----------------------------------------------------------------------------
 
-# The deadline passes just as the last byte is handed over: it may have run, so "never ran" would be untrue.
+# The deadline passes just as the last byte is written: the request may have run, so "never ran" would be wrong.
 def test_a_deadline_that_passes_as_the_last_byte_leaves_is_no_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     finish = http.Connection.send_last_byte
 
@@ -425,8 +428,8 @@
     send = Core.send
     monkeypatch.setattr(http.Connection, "send_last_byte", slow)
     monkeypatch.setattr(Core, "send", lambda core, request, worker, _: send(core, request, worker, 400.0))
-    monkeypatch.setattr(Core, "_call_off", lambda core, call: None)  # the port's own clock is first
-    play(ONE + """
+    monkeypatch.setattr(Core, "_call_off", lambda core, call: None)  # so that the port's own time-out comes first
+    play(WATCH_OPENED + """
         c send job vyuctovani r1 0123456789
         w expect 0123456789
         d send list 42 changes x=active
@@ -437,7 +440,7 @@
 
 
 ANSWERS = {
-    # Guards against a client that has well workers ruled out by requests that each of them turns down.
+    # A client must not get healthy workers ejected by sending requests that all of them reject.
     "a request that is itself wrong is failed at once, and its worker is no worse for it": """
         c send job poloha r1
         w expect r1
@@ -505,12 +508,12 @@
 }
 
 
-SPOILT = {
-    # A call whose code raises would keep its request, its slot, its connection and the end of the process.
+MALFORMED_ANSWERS = {
+    # A call whose code raises would never release its request, slot and connection, and would block shutdown.
     "an answer that nests deeper than it can be read is one reset": f"""
         c send job vyuctovani r1
         w expect r1
-        w send HTTP/1.1 200 OK\\r\\n\\r\\n{{"state":"done","result":{DEEP}\\n
+        w send HTTP/1.1 200 OK\\r\\n\\r\\n{{"state":"done","result":{DEEPLY_NESTED}\\n
         c expect HTTP/1.1 502
         count garbled.answer 1
         count calls.reset 1
@@ -534,14 +537,14 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
+@pytest.mark.parametrize("name", MALFORMED_ANSWERS)
 def test_spoilt_answers(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.5)
     monkeypatch.setattr(http, "ANSWER_END_TIMEOUT_S", 0.1)
-    play(ONE + SPOILT[name])
+    play(WATCH_OPENED + MALFORMED_ANSWERS[name])
 
 
-# No comparison is true or false of such a figure, so a report that holds one is none.
+# Comparisons with such values are meaningless, so a report with one counts as malformed.
 @pytest.mark.parametrize("text", [b"queue=nan,x0=1", b"queue=1,x0=-inf", b"queue=1e999,x0=1",
                                   b'{"queue":1e400,"x0":1}'])
 def test_a_report_that_holds_no_number_is_none(text: bytes) -> None:
@@ -549,20 +552,20 @@
     assert http.parse_load_report(b"queue=1,x0=-0.5", ("queue", "x0")) == (1.0, -0.5)
 
 
-# Whatever raises in a call's own code ends the attempt as what is true of it.
+# An exception in a call's own code ends the attempt with the status that is true of it.
 @pytest.mark.parametrize(("where", "ends"), [("send_up_to_last_byte", "connect_failed"), ("next_event", "reset")])
 def test_a_call_that_raises_ends_all_the_same(where: str, ends: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Discovery's stays as it is.
+    # Connections to discovery are not patched.
     monkeypatch.setattr(destinations, "Connection", type("Apart", (http.Connection,), {}))
     original = getattr(http.Connection, where)
 
     async def faulty(self: http.Connection, *more: Any) -> Any:
         if type(self) is http.Connection:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("injected fault")
         return await original(self, *more)
 
     monkeypatch.setattr(http.Connection, where, faulty)
-    play(ONE + f"""
+    play(WATCH_OPENED + f"""
         c send job vyuctovani r1 X-Timeout:900m
         c expect HTTP/1.1 50
         count calls.{ends} 1
@@ -576,15 +579,16 @@
 def test_answers(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
     monkeypatch.setattr(http, "ANSWER_END_TIMEOUT_S", 0.1)
-    play(ONE + ANSWERS[name])
+    play(WATCH_OPENED + ANSWERS[name])
 
 
 # --- idle connections ----------------------------------------------------------------------------------
 
-# Between two rounds of the reaper: the worker's machine has closed what has been idle for the settings' time.
+# Between two runs of the reaper: the worker's machine has closed a connection that reached the configured idle
+# time.
 def test_a_connection_idle_for_the_settings_time_is_not_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "REAP_INTERVAL_S", 60.0)
-    play(ONE + """
+    play(WATCH_OPENED + """
         c send job vyuctovani r1
         w expect r1
         w send lines r1 done=one .
@@ -601,7 +605,7 @@
 
 
 PROBES = {
-    # The worker's machine may end an idle connection when it likes: that is no word on the worker.
+    # The worker's machine may close an idle connection at any time, which says nothing about the worker.
     "its connection is closed as it is written": """
         w expect GET /-/load
         w close
@@ -638,7 +642,7 @@
     asyncio.run(run())
 
 
-# What a worker says unasked between two requests is no probe's answer, nor the probe's that of the next request.
+# Unsolicited data between two requests is not taken for a probe's answer, nor the probe's for the next request's.
 def test_a_second_answer_while_its_connection_rests_is_not_a_probes(cores: list[Core]) -> None:
     async def run() -> None:
         async with Cast() as cast:
@@ -665,17 +669,17 @@
     asyncio.run(run())
 
 
-# A client begins in the moment in which its silent connection is given up.
+# A client starts to send at the moment when its silent connection times out.
 def test_a_request_that_comes_as_its_silent_connection_is_given_up_is_served(
         monkeypatch: pytest.MonkeyPatch) -> None:
     read = http.ClientSession.read
-    crossed: list[http.ClientSession] = []
+    timed_out: list[http.ClientSession] = []
 
     async def late(self: http.ClientSession) -> bytes:
-        if not crossed:
+        if not timed_out:
             while not self.has_unread:
                 await asyncio.sleep(0.001)
-            crossed.append(self)
+            timed_out.append(self)
             raise TimeoutError
         return await read(self)
 
@@ -683,18 +687,18 @@
     play(SERVED)
 
 
-# The process has read a request whose handler has yet to be woken, and just then it closes what rests.
+# The process has read a request, but its handler has not run yet when idle connections are closed.
 @pytest.mark.parametrize("closer", ["leaving", "making room"])
 def test_a_request_that_was_read_as_its_connection_was_to_close_is_served(
         closer: str, monkeypatch: pytest.MonkeyPatch) -> None:
     inbounds: list[http.Inbound] = []
-    take_in, received = http.Inbound._open_session, http.SessionProtocol.data_received
+    open_session, received = http.Inbound._open_session, http.SessionProtocol.data_received
 
-    async def noted(self: http.Inbound, sock: socket.socket) -> None:
+    async def recorded_open_session(self: http.Inbound, sock: socket.socket) -> None:
         inbounds.append(self)
-        await take_in(self, sock)
+        await open_session(self, sock)
 
-    def crossed(self: http.SessionProtocol, data: bytes) -> None:
+    def cross(self: http.SessionProtocol, data: bytes) -> None:
         received(self, data)
         if b"r2" in data:
             if closer == "leaving":
@@ -702,10 +706,10 @@
             else:
                 assert not inbounds[0]._evict()
 
-    monkeypatch.setattr(http.Inbound, "_open_session", noted)
-    monkeypatch.setattr(http.SessionProtocol, "data_received", crossed)
+    monkeypatch.setattr(http.Inbound, "_open_session", recorded_open_session)
+    monkeypatch.setattr(http.SessionProtocol, "data_received", cross)
     monkeypatch.setattr(http, "EVICTION_IDLE_MS", (0.0, 0.0, 0.0))
-    play(ONE + """
+    play(WATCH_OPENED + """
         c send job poloha r1
         w expect r1
         w send lines r1 done=one .
@@ -718,13 +722,13 @@
     """)
 
 
-# --- leaving ---------------------------------------------------------------------------------------------
+# --- shutdown --------------------------------------------------------------------------------------------
 
-# c2's end shows that idle connections are being closed; c has waited longer, and its request is half here.
+# The close of c2 shows that idle connections are being closed; c has waited longer, with half a request received.
 def test_a_half_read_request_is_not_cut_off_by_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     monkeypatch.setattr(http, "FIRST_REQUEST_TIMEOUT_S", 4.0)
-    play(ONE + """
+    play(WATCH_OPENED + """
         c send POST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r1\\r\\nX-Priority-Class: poloha\\r\\n
         c2 send
         term
@@ -752,7 +756,7 @@
         size = 16_000_000
         writer.write(b"x" * size)
         assert not session.may_close(1.0) and session.eviction_rank(5000.0) is None
-        assert session.eviction_rank(1e9)  # who takes nothing for long makes room all the same
+        assert session.eviction_rank(1e9)  # a client that reads nothing for long is evicted all the same
         got = 0
         async with asyncio.timeout(5.0):
             while got < size:
@@ -765,31 +769,31 @@
     asyncio.run(run())
 
 
-# SIGHUP has dropped the class of the longest deadline, of which a job is open: SIGKILL does not wait for it.
+# SIGHUP has removed the class with the longest deadline, which has an open job: SIGKILL does not wait for that.
 def test_the_time_to_leave_is_that_of_the_classes_in_force(monkeypatch: pytest.MonkeyPatch) -> None:
-    left: list[http.Drain] = []
-    leave = http.Inbound.shut_down
+    drains: list[http.Drain] = []
+    shut_down = http.Inbound.shut_down
 
-    async def noted(self: http.Inbound, *more: Any) -> None:
-        left.append(self.drain)
-        await leave(self, *more)
+    async def recorded_shut_down(self: http.Inbound, *more: Any) -> None:
+        drains.append(self.drain)
+        await shut_down(self, *more)
 
-    monkeypatch.setattr(http.Inbound, "shut_down", noted)
+    monkeypatch.setattr(http.Inbound, "shut_down", recorded_shut_down)
 
     async def run() -> None:
         async with Cast() as cast:
-            await cast.play(ONE + "c send job vyuctovani r1\nw expect r1")
+            await cast.play(WATCH_OPENED + "c send job vyuctovani r1\nw expect r1")
             file = json.loads(cast.file)
             file["settings"]["grades"] = [{**CLASSES[0], "deadline": 600.0}]
             cast.file = json.dumps(file).encode()
             cast.reload.asked.set()
             await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
-            assert left[0].deadline - left[0].started_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
+            assert drains[0].deadline - drains[0].started_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
 
     asyncio.run(run())
 
 
-# A client connects just as the last of the others has gone: the kernel has taken it, nobody has read it.
+# A client connects just as the last other connection ends: the kernel has accepted it, and nothing was read.
 def test_who_connects_just_before_the_end_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     late: list[socket.socket] = []
@@ -813,7 +817,7 @@
 
             monkeypatch.setattr(http.Inbound, "_stop_accepting", stop)
             monkeypatch.setattr(http.Inbound, "close", end)
-            await cast.play(ONE + "term\nw expect r1\nw send lines r1 done=one .\nended")
+            await cast.play(WATCH_OPENED + "term\nw expect r1\nw send lines r1 done=one .\nended")
             late[0].settimeout(5.0)
             assert b"200" in (got := late[0].recv(65536)) and got.endswith(b"one")
             late[0].close()
@@ -858,7 +862,7 @@
         x silent
     """,
     "an answer that nests deeper than it can be read is dropped, and the watch goes on": f"""
-        d {whole('{"more":' + DEEP)}
+        d {full_answer('{"more":' + DEEPLY_NESTED)}
         d expect index=41
         count garbled.list 1
         d send list 42 changes w=leaving x=active
@@ -868,11 +872,11 @@
         x send lines r1 done=ok .
         c expect 200
     """,
-    "an object without a version and workers is dropped, and the old list holds": no_list("{}"),
-    "a list without workers is dropped, and the old list holds": no_list('{"version":42,"full":true}'),
-    "a list without a version is dropped, and the old list holds": no_list('{"full":true,"servers":[]}'),
+    "an object without a version and workers is dropped, and the old list holds": invalid_list("{}"),
+    "a list without workers is dropped, and the old list holds": invalid_list('{"version":42,"full":true}'),
+    "a list without a version is dropped, and the old list holds": invalid_list('{"full":true,"servers":[]}'),
     "an entry that cannot be called is left out, and the others count": f"""
-        d {whole('{"version":42,"servers":[{"id":"s-y","addr":"127.0.0.1:99999","state":"active"}]}')}
+        d {full_answer('{"version":42,"servers":[{"id":"s-y","addr":"127.0.0.1:99999","state":"active"}]}')}
         d expect index=42
         count garbled.entry 1
         c send job poloha r1 X-Timeout:300m
@@ -881,7 +885,7 @@
         count core_failed 0
     """,
     "an entry that cannot be called and says that its worker drains counts": f"""
-        d {whole('{"version":42,"full":false,"servers":[{"id":"s-w","addr":"a:99999","state":"leaving"}]}')}
+        d {full_answer('{"version":42,"full":false,"servers":[{"id":"s-w","addr":"a:99999","state":"leaving"}]}')}
         d expect index=42
         c send job poloha r1 X-Timeout:300m
         c expect HTTP/1.1 503
@@ -908,8 +912,8 @@
 @pytest.mark.parametrize("name", WATCHES)
 def test_watches(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if "SIGHUP" not in name:
-        monkeypatch.setattr(destinations, "WATCH_MARGIN_S", -0.7)  # of 1 s that the call may wait
-    play(ONE + WATCHES[name])
+        monkeypatch.setattr(destinations, "WATCH_MARGIN_S", -0.7)  # added to the 1 s that the call may wait
+    play(WATCH_OPENED + WATCHES[name])
 
 
 @pytest.mark.parametrize("fault", [RuntimeError, ValueError])
@@ -921,11 +925,11 @@
     def faulty(self: destinations.DiscoveryClient, found: Any) -> Any:
         if found.version == 42 and not raised:
             raised.append(1)
-            raise fault("a fault of ours")
+            raise fault("injected fault")
         return entries(self, found)
 
     monkeypatch.setattr(destinations.DiscoveryClient, "_entries", faulty)
-    play(ONE + """
+    play(WATCH_OPENED + """
         d send list 42 changes w=leaving x=active
         d next
         d expect index=41
@@ -939,8 +943,9 @@
     """)
 
 
-# Where lists are asked for the module takes its time to ask: what the agent has counts as told all the same.
-ASKED = {"registryMode": "subscribe", "rules": {**SETTINGS["rules"], "askEvery": 1e7}}
+# With lists on request the decision module may be slow to ask: what the agent has counts as published all the
+# same.
+LISTS_ON_REQUEST = {"registryMode": "subscribe", "rules": {**SETTINGS["rules"], "askEvery": 1e7}}
 
 
 @pytest.mark.parametrize("failures", ["", "d half list 43 full x=active", "d expect-close"])
@@ -948,7 +953,7 @@
     monkeypatch.setattr(destinations, "UNREQUESTED_AFTER_S", 0.1)
     monkeypatch.setattr(destinations, "WATCH_MARGIN_S", -0.7)  # of 1 s that the call may wait
     again = f"{failures}\nd close\nd expect index=41\n" * (3 if failures else 0)
-    play(ONE + again + """
+    play(WATCH_OPENED + again + """
         d send list 42 changes w=leaving x=active
         d expect index=42
         c send job poloha r1
@@ -956,7 +961,7 @@
         x send lines r1 done=ok .
         c expect 200
         w silent
-    """, settings=ASKED)
+    """, settings=LISTS_ON_REQUEST)
 
 
 def test_an_asked_list_is_not_watched_against_the_modules_word(cores: list[Core],
@@ -964,19 +969,20 @@
     monkeypatch.setattr(destinations, "UNREQUESTED_AFTER_S", 0.05)
 
     async def run() -> None:
-        async with Cast(settings=ASKED) as cast:
+        async with Cast(settings=LISTS_ON_REQUEST) as cast:
             cores[0].watch(False)
             await cast.play("wait 300\nd silent\ncount lists.unasked 0")
             cores[0].watch(True)
-            await cast.play(ONE)
+            await cast.play(WATCH_OPENED)
 
     asyncio.run(run())
 
 
-# --- a process's first and last moments ------------------------------------------------------------------
+# --- start and end of a process --------------------------------------------------------------------------
 
-# SIGHUP comes while a process is being started, before its file is read, or after it was and before anybody hears:
-# it neither ends the process nor is forgotten.  The file is a pipe, so that the test knows where the process is.
+# SIGHUP comes during the start of a process, before its file is read, or afterwards but before a handler is
+# installed: it must neither end the process nor be lost. The file is a pipe, so that the test knows the process's
+# progress.
 def test_sighup_while_a_process_starts(tmp_path: Path) -> None:
     def text(discovery: int) -> bytes:
         return json.dumps({"name": "n0", "listen": f"127.0.0.1:{listen}", "seed": "a1", "settings": SETTINGS,
@@ -1001,11 +1007,11 @@
             process.send_signal(signal.SIGHUP)
             end.write(text(old))
         agents[1].settimeout(20.0)
-        heard, _ = agents[1].accept()  # it has read the new file
+        heard, _ = agents[1].accept()  # the process has read the new file
         heard.close()
         process.send_signal(signal.SIGTERM)
-        _, said = process.communicate(timeout=20.0)
-        assert process.returncode == 0 and b"reloads.done=1" in said
+        _, log = process.communicate(timeout=20.0)
+        assert process.returncode == 0 and b"reloads.done=1" in log
     finally:
         process.kill()
         process.wait()
@@ -1013,7 +1019,7 @@
             agent.close()
 
 
-# The deploy file's command has SIGHUP passed over from its first word on, until Python hears signals.
+# The deploy file's command has SIGHUP ignored from its start until Python handles signals.
 def test_the_deploy_files_command_outlives_sighup_before_python_runs(tmp_path: Path) -> None:
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     python = tmp_path / ".venv/bin/python"
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Scenarios of the platform's wire: inbound, outbound calls, destination set, shutdown."""
+"""Scenarios of the HTTP front and of discovery: inbound requests, outbound calls, worker lists, shutdown."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         w send lines r1 started done=hello .
         c expect 200 .*Content-Length: 5.*hello
     """,
-    # Guards against workers that do not know a repeat as one: they drop it by a header of the client's.
+    # Workers recognize a repeat by a header of the client, so that header must reach them.
     "headers are passed on as they came, but for those of one hop and our own": """
         c send job poloha r1 body1 Idempotency-Key:5f0e X-Retried:1 TE:gzip Connection:x-hop X-Hop:7 X-Timeout:900m
         w expect (?P<head>POST .*body1)
@@ -47,7 +47,7 @@
         c send GET /x HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n
         c expect HTTP/1.1 404
     """,
-    # A body may come in any pieces; the request begins with its last byte.
+    # A request may arrive in any pieces; its call starts after the last byte.
     "a request in pieces": """
         c send POST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r1\\r\\nX-Priority-
         wait 20
@@ -60,7 +60,7 @@
     """,
 }
 
-OUTCOMES = {
+ATTEMPT_OUTCOMES = {
     "never ran by the worker's word: a never-twice job goes elsewhere": """
         c send job vyuctovani r1
         {first} expect r1
@@ -128,7 +128,7 @@
         {first} expect-close
         count requests.client_gone 1
     """,
-    # Guards against a deadline that passes unanswered while a worker is silent.
+    # A deadline must not pass without an answer while a worker is silent.
     "a silent worker: failed by the deadline": """
         c send job vyuctovani r1 X-Timeout:300m
         {first} expect r1
@@ -137,8 +137,8 @@
     """,
 }
 
-HIDDEN = "0\\r\\n\\r\\nPOST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r9\\r\\n\\r\\n"
-DEAD = {
+HIDDEN_REQUEST = "0\\r\\n\\r\\nPOST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r9\\r\\n\\r\\n"
+DEAD_CONNECTIONS = {
     "a kept connection that is reset under the next request: the attempt takes another": """
         c send job vyuctovani r1
         w expect r1
@@ -224,18 +224,18 @@
 }
 
 
-# Guards against never-twice jobs that fail, though it could have been known that they did not run.
-@pytest.mark.parametrize("name", DEAD)
+# A job that must not run twice must not fail where it can be known that it did not run.
+@pytest.mark.parametrize("name", DEAD_CONNECTIONS)
 def test_dead_connections(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "LAST_BYTE_DELAY_S", 0.15)
-    play("d expect index=41\n" + DEAD[name])
+    play("d expect index=41\n" + DEAD_CONNECTIONS[name])
 
 
 REFUSED = {
     "two lengths": (f"c send job poloha r1 {'a' * 5} Content-Length:5", "400"),
     "a length and a coding: what the body hides is never read as a request": (
         "c send POST /api HTTP/1.1\\r\\nHost: a\\r\\nX-Request-ID: r1\\r\\nX-Priority-Class: poloha\\r\\n"
-        f"X-Timeout: 900m\\r\\nContent-Length: 71\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{HIDDEN}",
+        f"X-Timeout: 900m\\r\\nContent-Length: 71\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n{HIDDEN_REQUEST}",
         "400"),
     "two ids": ("c send job poloha r1 X-Request-ID:r2", "400"),
     "two classes": ("c send job poloha r1 X-Priority-Class:vyuctovani", "400"),
@@ -286,8 +286,8 @@
         c send job poloha r1
         x expect r1
     """,
-    # Guards against a watch that is silent with its connection open: while it was waited out for 23 s every
-    # worker that joined was unknown, and the workers that were left turned one class away almost whole.
+    # A silent watch on an open connection was once waited out for 23 s. New workers stayed unknown meanwhile, and
+    # the remaining ones refused almost all jobs of one class.
     "a silent watch is opened anew, and who joined meanwhile is known": """
         d expect index=41
         d send list 42 changes w=left
@@ -322,7 +322,7 @@
 }
 
 RELOADS = {
-    # Guards against SIGHUP's default, which ends the process, and against waiting on an agent that is left.
+    # SIGHUP must not end the process, which is its default action, and the old agent must not be waited for.
     "the list moves at once; what was known and what is open stays": """
         c send job poloha r1
         w expect r1
@@ -381,12 +381,12 @@
     play(SERVED[name])
 
 
-@pytest.mark.parametrize("name", OUTCOMES)
+@pytest.mark.parametrize("name", ATTEMPT_OUTCOMES)
 def test_outcomes(name: str) -> None:
-    # One worker is known at first; the other joins by the list when the first has the job.
+    # One worker is known at first; the list adds the other once the first has the job.
     play("""
         d expect index=41
-        """ + OUTCOMES[name].format(first="w", second="x").replace(
+        """ + ATTEMPT_OUTCOMES[name].format(first="w", second="x").replace(
         "w expect r1", "w expect r1\n d send list 42 changes x=active\n d expect index=42", 1))
 
 
@@ -402,7 +402,7 @@
     play(LISTS[name])
 
 
-# Guards against jobs refused for want of a connection while others hold theirs and say nothing.
+# Jobs must not be refused for lack of a connection while other clients hold connections and send nothing.
 def test_silent_and_idle_connections_make_room_for_jobs() -> None:
     play("""
         c send job poloha r1
@@ -435,23 +435,23 @@
     """, limits={"sockets": 8})
 
 
-HEAD = "POST /api HTTP/1.1\\r\\nHost: a\\r\\n"
-READY = "GET /-/ready HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n"
+HALF_HEAD = "POST /api HTTP/1.1\\r\\nHost: a\\r\\n"
+READY_REQUEST = "GET /-/ready HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n"
 BAD_CLIENTS = {
-    # Guards against a client that sends half a request, or nothing, holding its socket for ever.
-    "half a request": f"c send {HEAD}\n c expect HTTP/1.1 408\n c expect-close",
+    # A client that sends half a request, or nothing, must not hold its connection forever.
+    "half a request": f"c send {HALF_HEAD}\n c expect HTTP/1.1 408\n c expect-close",
     "silence": "c send\n c expect HTTP/1.1 408\n c expect-close",
     "half a request after a good one, which may idle before": f"""
-        c send {READY}
+        c send {READY_REQUEST}
         c expect 200
         wait 400
-        c send {HEAD}
+        c send {HALF_HEAD}
         c expect HTTP/1.1 408
         c expect-close
     """,
-    # Guards against an error that is lost, as the client was still sending when the socket closed.
+    # An error must not be lost because the client is still sending when the socket is closed.
     "a client that goes on sending reads why it is closed": f"""
-        c send {HEAD}Content-Length: 60000000\\r\\n\\r\\n{'a' * 50_000}
+        c send {HALF_HEAD}Content-Length: 60000000\\r\\n\\r\\n{'a' * 50_000}
         wait 30
         c send {'a' * 50_000}
         c send {'a' * 50_000}
@@ -505,7 +505,7 @@
     """)
 
 
-# Guards against seconds without any scheduler, when one is being restarted and the next is told to stop.
+# There must not be seconds without any scheduler if one is restarting when the next is told to stop.
 def test_where_nobody_else_serves_connections_are_served_on_and_all_is_answered_in_time(
         monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "DRAIN_MIN_LEFT_AIMS", 4.0)  # more than the time left: r3 is refused
@@ -537,12 +537,12 @@
 
 
 @pytest.fixture
-def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Looks that are answered in time however busy the machine is."""
+def long_probe_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Give probes enough time however busy the machine is."""
     monkeypatch.setattr(logic, "LOOK_MS", 4000.0)
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_probe_timeout")
 def test_a_look_comes_before_a_send_and_uses_its_connection() -> None:
     play("""
         c send job poloha r1
@@ -556,7 +556,7 @@
     """, settings=PROBES)
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_probe_timeout")
 def test_a_garbled_report_is_dropped() -> None:
     play("""
         c send job poloha r1
