--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -23,7 +23,7 @@
 from ..config import GARBLED, Address, Config, ConfigError, DestinationList, ListedEntry, address
 from ..core import Core
 from ..interface import ListKind, WorkerState
-from ..messages import Listed
+from ..messages import ListedDestination
 from ..metrics import Counters
 from .http import Connection, ConnectionLostError, NeverWrittenError
 
@@ -107,7 +107,7 @@
 
     def publish_cached(self) -> None:
         """Pass to the core the list that this scheduler held last, from its configuration."""
-        self.core.listed(SOURCE, ListKind.CACHED, self._entries(self.cached))
+        self.core.update_destinations(SOURCE, ListKind.CACHED, self._entries(self.cached))
 
     async def run(self) -> None:
         """Follow the list for ever; failures are logged and retried after a pause, and never end the actor."""
@@ -132,7 +132,7 @@
                     self.counters.log("lists.failed", repr(error))
                     if self.core.settings.must_ask:
                         self.watching = False  # until the balancer asks again
-                        await self.core.post(self.core.list_failed)
+                        await self.core.post(self.core.discovery_failed)
                     if not isinstance(error, TimeoutError):  # a time-out was a pause already
                         await self._unless_agent_changes(asyncio.sleep(pause))
                         pause = min(self._max_pause_s(), pause * 2)
@@ -215,12 +215,12 @@
         self._full_list_due = self._full_list_due and not full
         if entries or answer.full:
             kind = ListKind.FULL if answer.full else ListKind.CHANGES
-            await self.core.post(lambda: self.core.listed(SOURCE, kind, entries))
+            await self.core.post(lambda: self.core.update_destinations(SOURCE, kind, entries))
         else:
-            await self.core.post(self.core.heard_discovery)
+            await self.core.post(self.core.discovery_answered)
         return bool(entries or answer.full)
 
-    def _entries(self, answer: DestinationList) -> list[Listed]:
+    def _entries(self, answer: DestinationList) -> list[ListedDestination]:
         return [self._entry(entry) for entry in answer.servers if self._has_usable_address(entry)]
 
     def _has_usable_address(self, entry: ListedEntry) -> bool:
@@ -237,6 +237,6 @@
                 return False
         return True
 
-    def _entry(self, e: ListedEntry) -> Listed:
-        return Listed(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
+    def _entry(self, e: ListedEntry) -> ListedDestination:
+        return ListedDestination(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
                       self.zones.get(e.zone, 0), e.started_ms)
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -76,7 +76,7 @@
     async def run(self) -> Outcome:
         """Send the request and read its answer. Returns an outcome whatever is raised."""
         try:
-            async with asyncio.timeout((self.call.ends - self.core.clock.now()) / 1000.0):
+            async with asyncio.timeout((self.call.deadline - self.core.clock.now()) / 1000.0):
                 connection = await self._send_request()
                 await self._read_answer(connection)
         except TimeoutError:
@@ -129,8 +129,8 @@
         while True:
             connection = self._connection = await self.pool.acquire(self._needs_new_connection)
             self._reused = connection.used
-            _raise_if_stopped(self.core.may_go_on(self.call))
-            self.call.begun_at = self.core.clock.now()
+            _raise_if_stopped(self.core.check_before_first_byte(self.call))
+            self.call.first_byte_at = self.core.clock.now()
             last = await self._send_up_to_last_byte(connection)
             if last is None or self._is_head_outdated():
                 self._drop_connection()
@@ -141,11 +141,11 @@
     async def _send_up_to_last_byte(self, connection: Connection) -> bytes | None:
         """Send all but the last byte and return that byte; None if a reused connection turned out to be stale."""
         job = self.call.job
-        left_ms = max(1, int(self.call.ends - self.call.begun_at - self._timeout_margin_ms))
+        left_ms = max(1, int(self.call.deadline - self.call.first_byte_at - self._timeout_margin_ms))
         headers = [(b"Host", self._host), (b"X-Request-ID", job.ident.encode()),
                    (b"X-Timeout", b"%dm" % left_ms),
                    (b"X-Priority-Class", self.core.class_names[job.class_index].encode()),
-                   (b"Content-Length", b"%d" % len(job.body)), *job.passed]
+                   (b"Content-Length", b"%d" % len(job.body)), *job.forwarded_headers]
         try:
             return await connection.send_up_to_last_byte(job.method, job.target, headers, job.body)
         except h11.LocalProtocolError as error:
@@ -177,7 +177,7 @@
         This happens if a worker reads the body late, or if this process stalled after the head was written.
         The margin covers one stall only, and there may be another one before the last byte.
         """
-        took_ms = self.core.clock.now() - self.call.begun_at
+        took_ms = self.core.clock.now() - self.call.first_byte_at
         if took_ms <= self._timeout_margin_ms:
             return False
         self._counters.add("calls.told_late")
@@ -189,7 +189,7 @@
 
         The process may have been frozen while the request was being sent. No request runs without its last byte.
         """
-        _raise_if_stopped(self.core.may_end(self.call))
+        _raise_if_stopped(self.core.check_before_last_byte(self.call))
         self.call.written = True
         self.outcome.status = Status.RESET  # if the deadline passes from here on, the request may have run
         try:
@@ -198,7 +198,7 @@
             self.call.written = False
             self.outcome.status = Status.CONNECT_FAILED
             raise
-        self.core.written(self.call)
+        self.core.call_written(self.call)
 
     # -- reading --
 
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -61,34 +61,34 @@
     # -- probes --
 
     def probe(self, destination: Destination) -> None:
-        """Ask a worker for its load; ``Core.probed`` follows."""
+        """Ask a worker for its load; ``Core.probe_ended`` follows."""
         self._tasks.start(self._prober.probe(destination, self._pool_for(destination)))
 
     # -- calls --
 
     def start(self, call: Call) -> None:
-        """Start a call; ``Core.ended`` follows."""
+        """Start a call; ``Core.call_ended`` follows."""
         self._calls[id(call)] = self._tasks.start(self._run_call(call, self._pool_for(call.destination)))
 
     def cancel(self, call: Call) -> Outcome | None:
-        """Cancel a call; returns its outcome if its task has not begun, else ``Core.ended`` follows."""
+        """Cancel a call; returns its outcome if its task has not begun, else ``Core.call_ended`` follows."""
         task = self._calls.get(id(call))
-        if task is None or call.over:
+        if task is None or call.finished:
             return None
         task.cancel()
-        if call.begun:
+        if call.task_started:
             return None
         # A task that is cancelled before its first step never runs its body. Nothing else would report the end to
         # the core, and the request would stay open forever.
         del self._calls[id(call)]
-        call.over = True
+        call.finished = True
         return Outcome(Status.CANCELLED)
 
     async def _run_call(self, call: Call, pool: Pool) -> None:
-        call.begun = True
+        call.task_started = True
         exchange = Exchange(call, pool, self.core, self.counters, self._answers, self._stale, self.host)
         outcome = await exchange.run()
-        call.over = True  # it must not be cancelled any more: its outcome is about to be reported
+        call.finished = True  # it must not be cancelled any more: its outcome is about to be reported
         del self._calls[id(call)]
-        await self.core.post(lambda: self.core.ended(call, outcome))
+        await self.core.post(lambda: self.core.call_ended(call, outcome))
         await exchange.close()
--- a/gaphub/net/http/probe.py
+++ b/gaphub/net/http/probe.py
@@ -67,4 +67,4 @@
             now = self.core.clock.now()
             if connection is not None:
                 pool.release(connection, now)
-        await self.core.post(lambda: self.core.probed(destination, status, now - started_at, report))
+        await self.core.post(lambda: self.core.probe_ended(destination, status, now - started_at, report))
--- a/gaphub/net/http/request.py
+++ b/gaphub/net/http/request.py
@@ -76,7 +76,7 @@
     return Job(ident.decode(), class_index, received_at, left_ms - tunables.TRANSIT_ALLOWANCE_MS, reply, body,
                event.method.decode(), event.target.decode(), parse_key(headers.get(b"cookie", b"")),
                attributes["slots"] or 1.0, attributes["memory"], headers.get(b"x-retried") == b"1",
-               passed=forwarded_headers(event))
+               forwarded_headers=forwarded_headers(event))
 
 
 def forwarded_headers(event: h11.Request) -> tuple[tuple[bytes, bytes], ...]:
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -228,7 +228,7 @@
 class _Fence:
     """Holds for so many askings."""
 
-    return_ms = 50.0
+    retry_after_ms = 50.0
 
     def __init__(self, asked: int) -> None:
         self.left = asked
@@ -555,7 +555,7 @@
 def test_logs_are_one_event_a_line(form: str, capsys: pytest.CaptureFixture[str]) -> None:
     import sys
 
-    line = logs.make(form, "warning", "n1", sys.stdout)
+    line = logs.make_line_writer(form, "warning", "n1", sys.stdout)
     line("garbled.request", 'a "quoted"\nthing')
     line("lease.gained", "quiet at this level")
     out = capsys.readouterr().out.splitlines()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -201,7 +201,7 @@
     post = Core.post
 
     async def late(core: Core, message: Callable[[], None]) -> None:
-        if getattr(getattr(message, "func", None), "__name__", "") == "gone":
+        if getattr(getattr(message, "func", None), "__name__", "") == "client_gone":
             held.append(message)
         else:
             await post(core, message)
@@ -271,7 +271,7 @@
     def cross(self: http.Outbound, call: Call) -> None:
         start(self, call)
         cores.append(self.core)
-        self.core._later.append(lambda: self.core.gone(call.job))
+        self.core._deferred.append(lambda: self.core.client_gone(call.job))
 
     monkeypatch.setattr(http.Outbound, "start", cross)
 
@@ -428,7 +428,7 @@
     send = Core.send
     monkeypatch.setattr(http.Connection, "send_last_byte", slow)
     monkeypatch.setattr(Core, "send", lambda core, request, worker, _: send(core, request, worker, 400.0))
-    monkeypatch.setattr(Core, "_call_off", lambda core, call: None)  # so that the port's own time-out comes first
+    monkeypatch.setattr(Core, "_cancel_call", lambda core, call: None)  # the port's own time-out comes first
     play(WATCH_OPENED + """
         c send job vyuctovani r1 0123456789
         w expect 0123456789
@@ -786,7 +786,7 @@
             file = json.loads(cast.file)
             file["settings"]["grades"] = [{**CLASSES[0], "deadline": 600.0}]
             cast.file = json.dumps(file).encode()
-            cast.reload.asked.set()
+            cast.reload.requested.set()
             await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
             assert drains[0].deadline - drains[0].started_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,12 +13,12 @@
 from gaphub.clock import Clock
 from gaphub.core import Core
 from gaphub.interface import ClassSettings, ListKind, Settings, WorkerState
-from gaphub.messages import Listed
+from gaphub.messages import ListedDestination
 from gaphub.metrics import Counters
 from gaphub.net.destinations import IMMEDIATE_MAX, IMMEDIATE_PAUSE_S, RETRY_MIN_S
 
 from .scenario import Cast
-from .test_core import Port
+from .test_core import FakePort
 
 
 async def count_calls(answer: dict[str, Any]) -> tuple[int, float]:
@@ -62,20 +62,22 @@
 
 
 STATES = st.sampled_from([WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE])
-ENTRIES = st.lists(st.builds(Listed, st.sampled_from("abcd"), st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]),
-                             STATES, started_ms=st.sampled_from([0.0, 5.0])), max_size=6)
+ENTRIES = st.lists(st.builds(ListedDestination, st.sampled_from("abcd"),
+                             st.sampled_from(["127.0.0.1:1", "127.0.0.1:2"]), STATES,
+                             started_ms=st.sampled_from([0.0, 5.0])), max_size=6)
 
 
 KINDS = st.sampled_from([ListKind.FULL, ListKind.CHANGES, ListKind.CACHED])
 
 
 @given(st.lists(st.tuples(KINDS, ENTRIES), max_size=8))
-def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(lists: list[tuple[int, list[Listed]]]) -> None:
+def test_any_sequence_of_lists_leaves_core_and_balancer_of_one_mind(
+        lists: list[tuple[int, list[ListedDestination]]]) -> None:
     """Entries that are repeated, vanish or come back: the usable workers are those last listed as ready."""
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
-    core.ports = {"discovery": Port()}
+    core.ports = {"discovery": FakePort()}
     for kind, entries in lists:
-        core.listed("discovery", kind, entries)
+        core.update_destinations("discovery", kind, entries)
         ready = {n for n, d in core.destinations.by_number.items() if d.listed.state == WorkerState.READY}
         assert set(core.balancer.fleet.ready) == ready
         assert set(core.balancer.fleet.workers) == set(core.destinations.by_number)
@@ -87,9 +89,9 @@
 
 def test_a_list_of_thousands_is_followed_and_let_go_again() -> None:
     core = Core(Settings(classes=(ClassSettings(300.0, 5000.0),)), 1, Clock(), Counters())
-    core.ports = {"discovery": Port()}
-    many = [Listed(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
-    core.listed("discovery", ListKind.FULL, many)
+    core.ports = {"discovery": FakePort()}
+    many = [ListedDestination(f"s{i}", f"127.0.0.1:{i}", WorkerState.READY) for i in range(5000)]
+    core.update_destinations("discovery", ListKind.FULL, many)
     assert len(core.balancer.fleet.ready) == 5000
-    core.listed("discovery", ListKind.FULL, [])
+    core.update_destinations("discovery", ListKind.FULL, [])
     assert not core.balancer.fleet.workers and not core.destinations.by_number and not core.destinations._numbers
