--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -57,15 +57,15 @@
     async def open(self) -> None:
         """Start to listen and accept."""
         loop = asyncio.get_running_loop()
-        found = await loop.getaddrinfo(*self.listen, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
-        self._listener = listener = socket.socket(*found[0][:3])
+        addresses = await loop.getaddrinfo(*self.listen, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+        self._listener = listener = socket.socket(*addresses[0][:3])
         listener.setblocking(False)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if self.reuse_port:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         # Inherited by accepted connections: bounds the memory for a client that sends without end.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, tunables.RECEIVE_BUFFER_BYTES)
-        listener.bind(found[0][4])
+        listener.bind(addresses[0][4])
         listener.listen(BACKLOG)
         # Without deferring, many clients that connect and send nothing would take up the connections, and a client
         # whose own machine is late to write would be evicted with its request unread. Not used if this process,
@@ -87,8 +87,8 @@
         self._accept_task.cancel()
         await asyncio.wait([self._accept_task])
         deadline = self.drain.deadline + tunables.DRAIN_LAST_ACCEPT_MS
-        if left := await self._acceptor.drain_and_close(lambda: self.core.clock.now() > deadline):
-            self.counters.log("connections.left_waiting", f"{left} connections not accepted at shutdown")
+        if not_accepted := await self._acceptor.drain_and_close(lambda: self.core.clock.now() > deadline):
+            self.counters.log("connections.left_waiting", f"{not_accepted} connections not accepted at shutdown")
         self._acceptor = self._listener = None
 
     def _stop_deferring(self) -> None:
@@ -178,7 +178,7 @@
         if self._listener is not None:
             self._listener.close()
 
-    # -- the acceptor's Owner protocol --
+    # -- the acceptor's ConnectionOwner protocol --
 
     def free(self) -> int:
         """How many more connections may be accepted."""
@@ -244,9 +244,9 @@
 
         Proportional to the time since the last pass, so that fewer passes per second do not mean fewer evictions.
         """
-        most = max(1, int(self.max_connections * tunables.MAX_EVICTION_SHARE))
-        passed_s, self._last_eviction_at = (now - self._last_eviction_at) / 1000.0, now
-        return max(1, min(most, int(passed_s * tunables.MAX_EVICTIONS_PER_S)))
+        max_evictions = max(1, int(self.max_connections * tunables.MAX_EVICTION_SHARE))
+        elapsed_s, self._last_eviction_at = (now - self._last_eviction_at) / 1000.0, now
+        return max(1, min(max_evictions, int(elapsed_s * tunables.MAX_EVICTIONS_PER_S)))
 
     def _evict_session(self, session: ClientSession, now: float) -> None:
         self.counters.add("connections.yielded")
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -69,7 +69,10 @@
 
 
 class EvictionClass(IntEnum):
-    """Classes of connections in the order of eviction; the index of ``tunables.EVICTION_IDLE_MS``."""
+    """Classes of connections in the order of eviction; the index of ``tunables.EVICTION_IDLE_MS``.
+
+    The names of the members are part of counter names: ``connections.yielded_silent`` and so on.
+    """
 
     SILENT = 0  # nothing was received
     BEGUN = 1  # part of a first request, or only requests that are not jobs
@@ -180,8 +183,8 @@
     @property
     def sock(self) -> socket.socket:
         """The socket, for queries and shutdown(2); the transport owns it."""
-        found: socket.socket = self.writer.get_extra_info("socket")
-        return found
+        sock: socket.socket = self.writer.get_extra_info("socket")
+        return sock
 
     def describe(self, now: float) -> str:
         """State of the connection for the log."""
