--- a/gaphub/net/http/__init__.py
+++ b/gaphub/net/http/__init__.py
@@ -5,8 +5,8 @@
 said so.
 
 Client side: ``inbound`` (listening, accepting, shutdown), ``session`` (state of a connection), ``handler``
-(requests and answers), ``request`` (validation and parsing), ``room`` (order of evictions), ``drain`` (time limits
-after SIGTERM).
+(requests and answers), ``request`` (validation and parsing), ``eviction`` (order of evictions), ``drain`` (time
+limits after SIGTERM).
 Worker side: ``outbound`` (calls), ``exchange`` (one attempt on the wire), ``probe``, ``answer`` (parsing of a
 worker's answer), ``pool``, ``connection``.
 Both read their time-outs, sizes and shares from ``tunables``.
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -20,8 +20,8 @@
 from ..listener import BACKLOG, DEFER_FLUSH_MS, SHUTDOWN_BACKLOG, Acceptor, set_defer_accept, shutdown_if_idle
 from . import reuseport, tunables
 from .drain import Drain
+from .eviction import eviction_order
 from .handler import RequestHandler
-from .room import eviction_order
 from .session import ClientSession, SessionProtocol
 
 
