--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -28,7 +28,7 @@
 from .net.arrival import TimedLoop
 from .net.destinations import DiscoveryClient
 from .net.gearman import Gearman
-from .net.http import INBOUND_PART, Inbound, Outbound
+from .net.http import INBOUND_SOCKET_SHARE, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
 from .net.ops import OpsServer
 from .net.peers import Peers
@@ -142,8 +142,8 @@
         core.log_request = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front end use file descriptors from the share of the HTTP clients.
-    part = 1.0 - gearman.SESSIONS_PART / INBOUND_PART if config.fronts.gearman.listen else 1.0
-    inbound = Inbound(config, core, counters, part=part)
+    part = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
+    inbound = Inbound(config, core, counters, socket_share=part)
     destinations = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
@@ -161,7 +161,7 @@
         gearman_front.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
             # The two listeners share the clients' sockets.
-            inbound = Inbound(config, core, counters, part=0.5 * part)
+            inbound = Inbound(config, core, counters, socket_share=0.5 * part)
             address_inbound = Inbound(config, core, counters,
                                       parse_address(config.fronts.address.listen, "address.listen"),
                                       address.fence, 0.5 * part)
@@ -212,11 +212,11 @@
         peers.announce_leaving()
         if successor := bool(shared_files.others_serving_since_ns()):
             await peers.close()  # the kernel delivers a datagram to one of two sockets: leave all to the successor
-        shutdowns = [inbound.leave(peers.others_serve, successor, SECOND if shared_files.is_oldest else FIRST)]
+        shutdowns = [inbound.shut_down(peers.others_serve, successor, SECOND if shared_files.is_oldest else FIRST)]
         if address is not None:
             shutdowns.append(address.hand_over())
         if address_inbound is not None:
-            shutdowns.append(address_inbound.leave(lambda: True))
+            shutdowns.append(address_inbound.shut_down(lambda: True))
         await asyncio.gather(*shutdowns)
     finally:
         await inbound.close()
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -199,8 +199,8 @@
                 self._close_connection()
                 self._http = await Connection.connect(self.agent, CALL_TIMEOUT_S)
             await self._http.send("GET", target, [(b"Host", f"{self.agent[0]}:{self.agent[1]}".encode())], b"")
-            event = await self._http.event()
-            body = await self._http.body(16 * 1024 * 1024)
+            event = await self._http.next_event()
+            body = await self._http.read_body(16 * 1024 * 1024)
         if event.status_code != 200:
             raise ConnectionLostError(f"the discovery agent answered with status {event.status_code}")
         try:
@@ -239,4 +239,4 @@
 
     def _entry(self, e: ListedEntry) -> ListedDestination:
         return ListedDestination(e.id, e.addr, _STATES[e.state], self.models.get(e.kind, 0), e.cell, e.weight,
-                      self.zones.get(e.zone, 0), e.started_ms)
+                                 self.zones.get(e.zone, 0), e.started_ms)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""A recording Actions and a small in-memory world to drive a Balancer in tests."""
+"""A recording Actions and an in-memory host that drives a Balancer in tests."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class Recorder:
-    """Actions that are written down."""
+    """Records the actions of a balancer."""
 
     def __init__(self) -> None:
         self.sends: list[tuple[int, int]] = []
         self.refused: list[int] = []
-        self.returns: list[float] = []
+        self.retry_afters: list[float] = []
         self.failed: list[int] = []
         self.cancelled: list[tuple[int, int]] = []
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
         self.peer_messages: list[tuple[int, bytes]] = []
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.watches = 0
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
@@ -32,7 +32,7 @@
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         self.refused.append(request)
-        self.returns.append(retry_after_ms)
+        self.retry_afters.append(retry_after_ms)
 
     def fail(self, request: int) -> None:
         self.failed.append(request)
@@ -54,7 +54,7 @@
         self.peer_messages.append((peer, data))
 
     def log(self, text: str) -> None:
-        self.lines.append(text)
+        self.log_lines.append(text)
 
     def watch(self, on: bool) -> None:
         self.watches += 1
@@ -70,7 +70,7 @@
 
 
 class World:
-    """One balancer, its clock and its recorder."""
+    """A balancer with its clock and its recorder."""
 
     def __init__(
         self,
@@ -113,13 +113,13 @@
         return self.worker_of(request, 0)
 
     def serve_last(self, request: int) -> None:
-        """Serve the newest attempt."""
+        """Let the latest attempt succeed."""
         self.outcome(request, self.attempts(request) - 1, Status.OK)
 
     def wait(self, ms: float, step: float = 5.0) -> None:
-        """Let time pass; the pending alarm rings when due, as a host would ring it."""
+        """Advance the clock; the pending timer fires when due, as a host would fire it."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            if self.balancer.armed_at and self.balancer.armed_at <= self.now:
+            if self.balancer.timer_due_at and self.balancer.timer_due_at <= self.now:
                 self.balancer.on_timer(self.now, 1)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,7 +1,8 @@
 """A real process under a real descriptor limit, while more idle clients than the limit connect and stay.
 
-A descriptor can be a client's connection (``INBOUND_PART`` of the limit), one to a worker (``OUTBOUND_PART``), one
-of an operator (a 32nd of the limit), the connection to discovery, or one of about a dozen that every process has.
+A descriptor can be a client's connection (``INBOUND_SOCKET_SHARE`` of the limit), one to a worker
+(``OUTBOUND_SOCKET_SHARE``), one of an operator (a 32nd of the limit), the connection to discovery, or one of about
+a dozen that every process has.
 
 Guards against an accept queue that is too short.  The idle clients connect all at once and overflowed a queue of
 512 (2,500 to 22,500 times in a run, by the kernel's count), so a new client's SYN was dropped now and then and
@@ -27,7 +28,7 @@
 from gaphub.lab.world import Workers
 from gaphub.metrics import Counters
 from gaphub.net.gearman import Gearman
-from gaphub.net.http import OUTBOUND_PART, Connection, Inbound, Pool, Pools
+from gaphub.net.http import OUTBOUND_SOCKET_SHARE, Connection, Inbound, Pool, Pools
 from gaphub.net.ops import OpsServer
 
 from .discovery import AgentMode, Discovery
@@ -121,7 +122,7 @@
         jobs.append(asyncio.create_task(job(listen, f"fill-{i}", "poloha")))
         await asyncio.sleep(0.004)
     served = (await asyncio.gather(*jobs)).count(200)
-    assert served > LIMIT * OUTBOUND_PART * 0.8, served
+    assert served > LIMIT * OUTBOUND_SOCKET_SHARE * 0.8, served
 
 
 @pytest.mark.parametrize("how", ["refuses", "is silent", "stays"])
@@ -205,8 +206,8 @@
         open_counts: list[int] = []  # open descriptors, when each connection is opened
 
         class RecordingPool(Pool):
-            async def take(self, fresh: bool = False) -> Connection:
-                connections.append(await super().take(fresh))
+            async def acquire(self, new_only: bool = False) -> Connection:
+                connections.append(await super().acquire(new_only))
                 return connections[-1]
 
         async def connect(to: Any, within_s: float, failed_locally: Any) -> Connection:
@@ -219,11 +220,11 @@
             pools = [RecordingPool(to, all_pools) for to in workers.addresses]
             all_pools._pools = dict(zip(workers.addresses, pools, strict=True))
             for pool in pools[:connection_limit]:
-                connection = await pool.take()
+                connection = await pool.acquire()
                 connection.idle_since = clock.now()
                 pool.idle.append(connection)
                 await asyncio.sleep(0.002)  # so that their last uses differ
-            await asyncio.gather(*(pool.take() for pool in pools[connection_limit:]))
+            await asyncio.gather(*(pool.acquire() for pool in pools[connection_limit:]))
         for connection in connections:
             connection.close()
         workers.close()
@@ -248,8 +249,8 @@
 
         monkeypatch.setattr(owner_type, "__init__", recording_init)
 
-    record_limit(Inbound, "room")
-    record_limit(Pools, "sockets")
+    record_limit(Inbound, "max_connections")
+    record_limit(Pools, "free_sockets")
     record_limit(OpsServer, "max_connections")
     if fronts:
         record_limit(Gearman, "most")
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("number", ACCEPT_ERRORS)
 def test_who_waits_at_a_listener_that_closes_is_taken_in_though_accepting_fails_for_a_moment(
         number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "LEAVE_MOST_MS", 500.0)
+    monkeypatch.setattr(http, "DRAIN_MAX_DEADLINE_MS", 500.0)
     accept, stop_accepting = socket.socket.accept, http.Inbound._stop_accepting
     pending_errors: list[int] = []
     late_clients: list[socket.socket] = []
@@ -113,7 +113,7 @@
                 successor.bind(cast.config.listen)
                 successor.listen(64)
                 successor.setblocking(False)
-                await inbounds[0].leave(lambda: True, successor=True)
+                await inbounds[0].shut_down(lambda: True, successor=True)
                 assert len(connected) == 32
                 for _ in connected:
                     successor.accept()[0].close()
@@ -191,7 +191,7 @@
 
 def test_a_local_failure_that_does_not_end_gets_a_refusal_and_is_no_fault_of_the_worker(
         pending_errors: list[tuple[str, int]], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tunables, "LOCAL_MOST_S", 0.2, raising=False)
+    monkeypatch.setattr(tunables, "LOCAL_RETRY_LIMIT_S", 0.2, raising=False)
 
     async def run() -> None:
         async with Cast() as cast:
