--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""Daily operation: the operators' address, figures, workers out by hand, new settings, upgrades."""
+"""Operations: the operators' HTTP server, job statistics, disabled workers, settings reloads, and upgrades."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from .processes import Process, counters, job, job_request, running
 from .scenario import CLASSES, SETTINGS, Cast, free_port
 
-BURST = 60  # callers that connect at once
-LATE_JOBS = 24  # clients of an upgrade, shared out between two listeners
-WITHIN_S = 5.0  # for an answer; its time-out
-# The first call asks for the whole list: readiness waits for the answer.
-TOLD = """
+BURST = 60  # concurrent callers
+LATE_JOBS = 24  # clients that the kernel distributes over two listeners during an upgrade
+TIMEOUT_S = 5.0
+# The first discovery call requests the full list; readiness waits for its answer.
+DISCOVERY_ANSWER = """
     d expect GET /api/targets HTTP
     d send list 41 full w=active
     d expect index=41
@@ -41,7 +41,7 @@
 def run(*steps: str, **more: Any) -> None:
     async def play() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}", **more) as cast:
-            await cast.play(TOLD)
+            await cast.play(DISCOVERY_ANSWER)
             for step in steps:
                 await cast.play(step)
 
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture(autouse=True)
-def own_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def separate_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
 
@@ -87,23 +87,23 @@
 
 
 def test_a_call_among_many_callers_that_say_nothing_is_answered() -> None:
-    """The call is the first of a burst that fills the queue before any is accepted; it was ended unread.
+    """Guards against evicting a connection before its call is read.
 
-    The list is told before the burst: else a process that has not heard from discovery may rightly say that it is
-    not ready.
+    The call is the first of a burst that fills the accept queue.  Discovery answers before the burst, as a process
+    without its answer may correctly report that it is not ready.
     """
 
     async def play() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}", limits={"sockets": 256}) as cast:
             assert cast.config.admin is not None
-            await cast.play(TOLD)
+            await cast.play(DISCOVERY_ANSWER)
             with ExitStack() as stack:
                 caller = stack.enter_context(socket.create_connection(cast.config.admin))
                 caller.sendall(b"GET /ops/readiness HTTP/1.1\r\nHost: o\r\n\r\n")
                 for _ in range(BURST):
                     stack.enter_context(socket.create_connection(cast.config.admin))
                 caller.setblocking(False)
-                async with asyncio.timeout(WITHIN_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     assert b" 200 " in await asyncio.get_running_loop().sock_recv(caller, 4096)
 
     asyncio.run(play())
@@ -156,7 +156,7 @@
         async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
             new = json.loads(cast.file)
             new["settings"]["grades"] = [
-                {**CLASSES[0], "idempotency": "at_most_once"},  # poloha may run once only from now on
+                {**CLASSES[0], "idempotency": "at_most_once"},  # from now on poloha must not be repeated
                 {"name": "nova", "slo": 300.0, "deadline": 2000.0, "idempotency": "idempotent"}]
             await cast.play("c send job poloha r1\nw expect r1")
             cast.file = json.dumps(new).encode()
@@ -182,7 +182,7 @@
     asyncio.run(play())
 
 
-def broken() -> dict[str, Any]:
+def invalid_files() -> dict[str, Any]:
     grades = [{**CLASSES[0]}, {**CLASSES[1]}]
     whole = {"settings": {**SETTINGS, "grades": grades}}
 
@@ -200,11 +200,11 @@
             "zones that are none": {"settings": {**SETTINGS, "zones": 3}}}
 
 
-@pytest.mark.parametrize("name", broken())
+@pytest.mark.parametrize("name", invalid_files())
 def test_a_file_that_is_not_whole_is_turned_down_and_the_old_settings_stay(name: str) -> None:
     async def play() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
-            change = broken()[name]
+            change = invalid_files()[name]
             new = change if isinstance(change, bytes) else json.dumps({**json.loads(cast.file), **change}).replace(
                 "Infinity", "1e999").encode()
             cast.file = new
@@ -217,21 +217,21 @@
     asyncio.run(play())
 
 
-WORD = st.builds(Override, st.sampled_from("abcd"), st.floats(0, 100), st.booleans())
+OVERRIDE = st.builds(Override, st.sampled_from("abcd"), st.floats(0, 100), st.booleans())
 
 
-@given(st.lists(WORD, max_size=12), st.lists(WORD, max_size=12))
+@given(st.lists(OVERRIDE, max_size=12), st.lists(OVERRIDE, max_size=12))
 def test_two_processes_come_to_hold_the_same_words_whatever_the_order(one: list[Override], other: list[Override]
                                                                       ) -> None:
     a, b = WorkerOverrides("n0"), WorkerOverrides("n0")
-    for word in one:
-        a.merge([word])
-    for word in reversed([*one, *other]):
-        b.merge([word])
+    for override in one:
+        a.merge([override])
+    for override in reversed([*one, *other]):
+        b.merge([override])
     a.merge(other)
     assert a.entries() == b.entries()
-    late = max((w.at for w in a.entries()), default=0.0)
-    a.record(late - 50.0, "a", True)  # a clock that was put back: the operator's word holds all the same
+    latest = max((override.at for override in a.entries()), default=0.0)
+    a.record(latest - 50.0, "a", True)  # takes effect although the clock was set back
     assert a.is_disabled("a")
     b.merge(a.entries())
     assert b.is_disabled("a")
@@ -241,12 +241,12 @@
 def test_a_torn_or_foreign_page_is_not_believed(junk: bytes, cut: int) -> None:
     overrides = WorkerOverrides("n0")
     overrides.record(1.0, "s-1", True)
-    page = overrides.encode()
-    assert overrides.decode(page) == overrides.entries()
-    assert overrides.decode(page[:cut % len(page)]) is None
-    assert overrides.decode(page + b" ") is None
+    encoded = overrides.encode()
+    assert overrides.decode(encoded) == overrides.entries()
+    assert overrides.decode(encoded[:cut % len(encoded)]) is None
+    assert overrides.decode(encoded + b" ") is None
     assert overrides.decode(junk) is None
-    assert WorkerOverrides("n1").decode(page) is None
+    assert WorkerOverrides("n1").decode(encoded) is None
 
 
 CLASS = st.builds(ClassSettings, st.sampled_from([100.0, 200.0]), st.just(5000.0),
@@ -258,41 +258,42 @@
 def test_a_row_never_changes_under_an_open_job(files: list[dict[str, ClassSettings]], busy: set[int]) -> None:
     table = retune.ClassTable(tuple(files[0].values()), tuple(files[0]), {n: i for i, n in enumerate(files[0])})
     for file in files[1:]:
-        after, fresh = retune.updated_table(table, list(file.values()), list(file), busy)
-        assert {name: after.rows[row] for name, row in after.active_rows.items()} == file
-        assert len(set(after.active_rows.values())) == len(file)
+        updated, new_rows = retune.updated_table(table, list(file.values()), list(file), busy)
+        assert {name: updated.rows[row] for name, row in updated.active_rows.items()} == file
+        assert len(set(updated.active_rows.values())) == len(file)
         for row in [r for r in range(len(table.rows)) if r in busy or r in table.active_rows.values()]:
-            assert row not in fresh
-            assert after.rows[row].effect == table.rows[row].effect
-            assert after.rows[row].deadline_ms == table.rows[row].deadline_ms
-        table = after
+            assert row not in new_rows
+            assert updated.rows[row].effect == table.rows[row].effect
+            assert updated.rows[row].deadline_ms == table.rows[row].deadline_ms
+        table = updated
 
 
 def test_a_successor_goes_on_from_what_was_measured_and_believes_no_other_page() -> None:
     def world() -> World:
         return World(entries=[entry(1), entry(2), entry(3, ready_at=900.0)], cold_ms=60_000.0)
 
-    old, live, names = world(), {"poloha": 0}, {1: "a", 2: "b", 3: "c"}
+    old, active_rows, names = world(), {"poloha": 0}, {1: "a", 2: "b", 3: "c"}
     for i in range(40):
         old.serve(old.request(), 50.0 + i)
         old.wait(20.0)
     old.balancer.fleet.workers[3].cold_allowance.light = -2.0
-    page = legacy.encode_state(old.balancer, "n0", old.now, live, names)
+    encoded = legacy.encode_state(old.balancer, "n0", old.now, active_rows, names)
     new = world()
-    found = legacy.decode_state(page, "n0", old.now + 100.0)
-    assert found is not None
-    legacy.restore_state(new.balancer, found, live, {"a": 1, "b": 2, "c": 3})
+    snapshot = legacy.decode_state(encoded, "n0", old.now + 100.0)
+    assert snapshot is not None
+    legacy.restore_state(new.balancer, snapshot, active_rows, {"a": 1, "b": 2, "c": 3})
     assert (new.balancer.class_types[0].mean_log == old.balancer.class_types[0].mean_log
             != world().balancer.class_types[0].mean_log)
     assert new.balancer.class_types[0].samples == old.balancer.class_types[0].samples
     assert new.balancer.fleet.workers[3].cold_allowance.light == -2.0
     new.serve(new.request())
-    other = World(entries=[entry(3, ready_at=950.0)], cold_ms=60_000.0)  # restarted: its allowances are its own
-    legacy.restore_state(other.balancer, found, live, {"c": 3})
+    other = World(entries=[entry(3, ready_at=950.0)], cold_ms=60_000.0)  # restarted: keeps its own allowances
+    legacy.restore_state(other.balancer, snapshot, active_rows, {"c": 3})
     assert other.balancer.fleet.workers[3].cold_allowance.light >= 0.0
-    for bad, name, now in ((page[:-1], "n0", old.now), (page, "n1", old.now), (b"", "n0", old.now),
-                           (page, "n0", old.now + legacy.MAX_AGE_MS + 1.0), (page, "n0", old.now - 1.0)):
-        assert legacy.decode_state(bad, name, now) is None
+    for invalid, name, now in ((encoded[:-1], "n0", old.now), (encoded, "n1", old.now), (b"", "n0", old.now),
+                               (encoded, "n0", old.now + legacy.MAX_AGE_MS + 1.0),
+                               (encoded, "n0", old.now - 1.0)):
+        assert legacy.decode_state(invalid, name, now) is None
 
 
 # --- upgrades: two processes of one scheduler --------------------------------------------------------
@@ -300,7 +301,7 @@
 
 @asynccontextmanager
 async def two_workers() -> AsyncIterator[tuple[Workers, Agent]]:
-    """Two stand-ins, and an agent that lists them."""
+    """Two simulated workers, and a discovery agent that lists them."""
     workers = Workers({"vyuctovani": 20.0})
     await workers.open(2)
     agent = Agent(workers.addresses)
@@ -317,21 +318,21 @@
     async def play() -> None:
         async with two_workers() as (workers, agent):
             listen = free_port()
-            both = [Process(tmp_path, listen, agent, "old")]
-            with running(both):
-                await course(workers, agent, both)
+            processes = [Process(tmp_path, listen, agent, "old")]
+            with running(processes):
+                await upgrade(workers, agent, processes)
 
-    async def course(workers: Workers, agent: Agent, both: list[Process]) -> None:
-        old = both[0]
+    async def upgrade(workers: Workers, agent: Agent, processes: list[Process]) -> None:
+        old = processes[0]
         listen = old.listen
         await old.ready()
         assert await old.call("PUT /ops/workers/down", "s-0") == 200
         async with asyncio.timeout(10.0):
             while not list(tmp_path.glob("*.legacy")):
                 await asyncio.sleep(0.05)
-        bad: dict[str, Any] = {"admin": "nowhere"} if how == "never ready" else {}
-        new = Process(tmp_path, listen, agent, "new", **bad)
-        both.append(new)
+        changes: dict[str, Any] = {"admin": "nowhere"} if how == "never ready" else {}
+        new = Process(tmp_path, listen, agent, "new", **changes)
+        processes.append(new)
         if how == "never ready":
             new.process.wait(20.0)
         else:
@@ -349,20 +350,20 @@
         if how in ("upgrade", "old one killed"):
             old.process.wait(10.0)
             assert await new.call("PUT /ops/workers/up", "s-0") == 200
-            assert "ops.inherited" in await counters(listen)  # it went on from what the old one had measured
-        assert workers.runs[workers.addresses[0]] == 0  # the one that is out
+            assert "ops.inherited" in await counters(listen)  # it restored the old process's state
+        assert workers.runs[workers.addresses[0]] == 0  # the disabled one
         assert workers.runs[workers.addresses[1]] == 60
 
     asyncio.run(play())
 
 
-# Guards against closing a listener while the kernel keeps connections whose clients have yet to write.
+# Guards against closing a listener while the kernel defers connections whose clients have not sent anything yet.
 @pytest.mark.parametrize("pause_s", [0.05, 0.4, 0.8])
 def test_who_connected_before_an_upgrade_and_writes_after_it_is_served(pause_s: float, tmp_path: Path) -> None:
     async def late_job(listen: int, ident: str) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", listen)
         connected.append(ident)
-        await told.wait()
+        await signalled.wait()
         await asyncio.sleep(pause_s)
         writer.write(job_request(ident).encode())
         try:
@@ -373,24 +374,24 @@
             writer.close()
 
     connected: list[str] = []
-    told = asyncio.Event()
+    signalled = asyncio.Event()
 
     async def play() -> None:
         async with two_workers() as (_, agent):
             listen = free_port()
-            both = [Process(tmp_path, listen, agent, "old")]
-            with running(both):
-                await both[0].ready()
-                both.append(Process(tmp_path, listen, agent, "new"))
-                await both[1].ready()
+            processes = [Process(tmp_path, listen, agent, "old")]
+            with running(processes):
+                await processes[0].ready()
+                processes.append(Process(tmp_path, listen, agent, "new"))
+                await processes[1].ready()
                 jobs = [asyncio.create_task(late_job(listen, f"r{i}")) for i in range(LATE_JOBS)]
                 while len(connected) < LATE_JOBS:
                     await asyncio.sleep(0.005)
-                both[0].process.send_signal(signal.SIGTERM)
-                told.set()
+                processes[0].process.send_signal(signal.SIGTERM)
+                signalled.set()
                 answers = await asyncio.gather(*jobs)
-                assert [a for a in answers if b" 200 " not in a] == []
-                both[0].process.wait(WITHIN_S)
+                assert [answer for answer in answers if b" 200 " not in answer] == []
+                processes[0].process.wait(TIMEOUT_S)
 
     asyncio.run(play())
 
@@ -399,42 +400,43 @@
     async def play() -> None:
         workers = Workers({"poloha": 10.0, "vyuctovani": 25.0})
         await workers.open(4)
-        agent = Agent([*workers.addresses, ("127.0.0.1", free_port())])  # the last one never listens
+        agent = Agent([*workers.addresses, ("127.0.0.1", free_port())])  # nothing listens at the last address
         await agent.open()
         listen = free_port()
-        one = Process(tmp_path, listen, agent, "one")
-        seen: Counter[tuple[str, str]] = Counter()
+        scheduler = Process(tmp_path, listen, agent, "one")
+        client_counts: Counter[tuple[str, str]] = Counter()
 
         async def client(number: int) -> None:
             for i in range(40):
-                cls = ("poloha", "vyuctovani")[(number + i) % 2]
-                status = await job(listen, f"{number}-{i}", cls)
-                seen[cls, {200: "success", 429: "overload", 503: "overload"}.get(status, "error")] += 1
+                class_name = ("poloha", "vyuctovani")[(number + i) % 2]
+                status = await job(listen, f"{number}-{i}", class_name)
+                client_counts[class_name,
+                              {200: "success", 429: "overload", 503: "overload"}.get(status, "error")] += 1
 
         try:
-            await one.ready()
+            await scheduler.ready()
             load = asyncio.gather(*map(client, range(12)))
             await asyncio.sleep(0.3)
-            agent.replace(agent.workers[1:])  # one goes, and all others come back under other ids
+            agent.replace(agent.workers[1:])  # removes one worker and lists the others under new ids
             await load
-            told = await one.stats()
-            for cls in ("poloha", "vyuctovani"):
-                assert {k: told["replies"][cls][k] for k in ("success", "overload", "error")} == {
-                    k: seen[cls, k] for k in ("success", "overload", "error")}
-            assert told["dispatches"] == sum(workers.ran.values())
-            assert told["concurrent"] == 0
-            assert sum(seen.values()) == 480
-            assert seen["poloha", "success"] > 0
+            stats = await scheduler.stats()
+            for class_name in ("poloha", "vyuctovani"):
+                assert {kind: stats["replies"][class_name][kind] for kind in ("success", "overload", "error")} == {
+                    kind: client_counts[class_name, kind] for kind in ("success", "overload", "error")}
+            assert stats["dispatches"] == sum(workers.ran.values())
+            assert stats["concurrent"] == 0
+            assert sum(client_counts.values()) == 480
+            assert client_counts["poloha", "success"] > 0
         finally:
-            one.process.kill()
-            one.process.wait()
+            scheduler.process.kill()
+            scheduler.process.wait()
             agent.close()
             workers.close()
 
     asyncio.run(play())
 
 
-# --- several schedulers, and a fault between them and discovery ---------------------------------------
+# --- several schedulers that lose contact with discovery ----------------------------------------------
 
 
 def test_watches_of_all_schedulers_fall_silent_while_all_workers_are_replaced(tmp_path: Path) -> None:
@@ -445,12 +447,12 @@
         agent = Agent(before.addresses)
         await agent.open()
         listens = [free_port() for _ in range(5)]
-        all_ = [Process(tmp_path, listen, agent, f"n{i}", name=f"n{i}") for i, listen in enumerate(listens)]
+        schedulers = [Process(tmp_path, listen, agent, f"n{i}", name=f"n{i}") for i, listen in enumerate(listens)]
         try:
-            for p in all_:
-                await p.ready()
+            for scheduler in schedulers:
+                await scheduler.ready()
             async with asyncio.timeout(10.0):
-                while agent.watching < len(all_):
+                while agent.watching < len(schedulers):
                     await asyncio.sleep(0.02)
             agent.replace(after.addresses, silent=True)
             before.close()
@@ -459,28 +461,29 @@
                 while await job(listen, f"{listen}-{time.monotonic_ns()}") != 200:
                     await asyncio.sleep(0.1)
 
-            async with asyncio.timeout(15.0):  # a watch was waited out for 23 s
+            async with asyncio.timeout(15.0):  # it took 23 s when a silent watch had to time out
                 await asyncio.gather(*map(served, listens))
-            assert max(after.ran.values()) == 1  # nothing ran twice
+            assert max(after.ran.values()) == 1  # no job ran twice
         finally:
-            for p in all_:
-                p.process.kill()
-                p.process.wait()
+            for scheduler in schedulers:
+                scheduler.process.kill()
+                scheduler.process.wait()
             agent.close()
             after.close()
 
     asyncio.run(play())
 
 
-# --- size -------------------------------------------------------------------------------------------
+# --- list sizes -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("key", ["peers", "known"])
 def test_a_list_over_the_stated_bound_is_an_error_that_names_its_key(key: str) -> None:
-    many = ["127.0.0.1:9"] * (config.MAX_LIST_ENTRIES + 1)
-    known = {"servers": [{"id": str(i), "addr": a, "state": "active"} for i, a in enumerate(many)]}
+    addresses = ["127.0.0.1:9"] * (config.MAX_LIST_ENTRIES + 1)
+    known = {"servers": [{"id": str(i), "addr": address, "state": "active"}
+                         for i, address in enumerate(addresses)]}
     file = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS,
-            key: many if key == "peers" else known}
+            key: addresses if key == "peers" else known}
     with pytest.raises(config.ConfigError, match=rf"\b{key}\b"):
         config.from_text(json.dumps(file).encode(), {}, "")
 
@@ -489,29 +492,29 @@
     async def play() -> None:
         workers = Workers({"vyuctovani": 5.0})
         await workers.open(1)
-        listen, resident = free_port(), []
+        listen, resident_mb = free_port(), []
         for size in (10, 1024):
-            agent = Agent(workers.addresses * size)  # as many ids at one address
+            agent = Agent(workers.addresses * size)  # all ids share one address
             await agent.open()
-            own = f"127.0.0.1:{listen}"
-            peers = [own, *(f"127.1.{i // 250}.{1 + i % 250}:9" for i in range(1, size))]
+            own_address = f"127.0.0.1:{listen}"
+            peers = [own_address, *(f"127.1.{i // 250}.{1 + i % 250}:9" for i in range(1, size))]
             settings = {**SETTINGS, "balancers": size, "limits": {**SETTINGS["limits"], "peerMessages": True}}
-            one = Process(tmp_path, listen, agent, str(size), peers=peers, peer_listen=own, settings=settings,
-                          limits={"memory_mb": 32, "sockets": 256})
+            scheduler = Process(tmp_path, listen, agent, str(size), peers=peers, peer_listen=own_address,
+                                settings=settings, limits={"memory_mb": 32, "sockets": 256})
             try:
-                await one.ready()
+                await scheduler.ready()
                 async with asyncio.timeout(10.0):
-                    while (await one.stats())["targets"] != size:
+                    while (await scheduler.stats())["targets"] != size:
                         await asyncio.sleep(0.05)
                 assert [await job(listen, f"{size}-{i}") for i in range(20)] == [200] * 20
-                status = Path(f"/proc/{one.process.pid}/status").read_text()
-                resident.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
-                assert one.process.poll() is None
+                status = Path(f"/proc/{scheduler.process.pid}/status").read_text()
+                resident_mb.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
+                assert scheduler.process.poll() is None
             finally:
-                one.process.kill()
-                one.process.wait()
+                scheduler.process.kill()
+                scheduler.process.wait()
                 agent.close()
         workers.close()
-        assert resident[1] - resident[0] < 12.0  # MB; some 7 were measured
+        assert resident_mb[1] - resident_mb[0] < 12.0  # MB; about 7 are typical
 
     asyncio.run(play())
