--- a/gaphub/ops/shelf.py
+++ b/gaphub/ops/shelf.py
@@ -19,7 +19,7 @@
 from ..metrics import Counters
 from .out import WorkerOverrides
 
-POLL_INTERVAL_S = 0.05  # leaves room for a stall within the shortest drain grace period of 250 ms
+POLL_INTERVAL_S = 0.05  # with a stall, still well within the shortest drain grace period of 250 ms
 SNAPSHOT_INTERVAL_S = 1.0
 MAX_FILE_BYTES = 4 * 1024 * 1024
 
@@ -109,15 +109,16 @@
             data = self._path.read_bytes() if stat[2] <= MAX_FILE_BYTES else b""
         except OSError:
             return
-        overrides = self._overrides.decode(data)
-        if overrides is None:
-            self._counters.log("ops.page_not_believed", f"{len(data)} bytes")
+        stored = self._overrides.decode(data)
+        if stored is None:
+            self._counters.log("ops.page_not_believed",
+                               f"{len(data)} bytes: too large, corrupt, in another format or of another scheduler")
             return
-        if changed := self._overrides.merge(overrides):
+        if changed := self._overrides.merge(stored):
             self._counters.add("ops.words_taken", len(changed))
             self._on_change(changed)
-        if self._overrides.entries() != overrides:
-            self.save_overrides()  # after simultaneous writes the file has all overrides again
+        if self._overrides.entries() != stored:
+            self.save_overrides()  # two processes may have written at once
 
     # -- serving locks --
 
--- a/gaphub/store.py
+++ b/gaphub/store.py
@@ -159,7 +159,7 @@
         self._pending.setdefault(peer, OrderedDict())
 
     def pending_updates(self, peer: int, max_datagrams: int) -> list[bytes]:
-        """Datagrams with the changes since the last call for a peer; digests repair lost ones."""
+        """Up to ``max_datagrams`` datagrams with changes not yet sent to a peer; digests repair lost ones."""
         pending = self._pending.get(peer)
         if not pending:
             return []
