--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -39,7 +39,7 @@
     PeerPort,
 )
 from .metrics import Counters
-from .ops.figures import JobStats
+from .ops.job_stats import JobStats
 from .ops.legacy import decode_state, encode_state, restore_state
 from .ops.out import WorkerOverrides
 from .ops.retune import effective_settings, initial_table, updated_table
