--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -41,8 +41,8 @@
 from .metrics import Counters
 from .ops.job_stats import JobStats
 from .ops.legacy import decode_state, encode_state, restore_state
-from .ops.out import WorkerOverrides
 from .ops.retune import effective_settings, initial_table, updated_table
+from .ops.worker_overrides import WorkerOverrides
 from .request_log import format_request
 
 MAILBOX_SIZE = 4096  # messages; when it is full, requests are refused and all other senders wait
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -12,7 +12,7 @@
 
 from .interface import ListedWorker, ListKind, WorkerState
 from .messages import Destination, ListedDestination, worker_identity
-from .ops.out import WorkerOverrides
+from .ops.worker_overrides import WorkerOverrides
 from .start_times import StartTimes
 
 MAX_REMEMBERED_NAMES = 65_536  # names of destinations ever listed; the one unlisted for the longest is dropped
--- a/gaphub/ops/shelf.py
+++ b/gaphub/ops/shelf.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from ..metrics import Counters
-from .out import WorkerOverrides
+from .worker_overrides import WorkerOverrides
 
 POLL_INTERVAL_S = 0.05  # with a stall, still well within the shortest drain grace period of 250 ms
 SNAPSHOT_INTERVAL_S = 1.0
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -21,7 +21,7 @@
 from gaphub.interface import ClassSettings, Effect
 from gaphub.lab.world import Agent, Workers
 from gaphub.ops import legacy, retune
-from gaphub.ops.out import Override, WorkerOverrides
+from gaphub.ops.worker_overrides import Override, WorkerOverrides
 
 from .fake import World, entry
 from .processes import Process, counters, job, job_request, running
