--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -13,7 +13,7 @@
 from ..interface import ClassSettings
 from ..logic import Balancer
 from ..workers import Worker
-from .page import add_checksum, decode_checked
+from .checksum import add_checksum, decode_checked
 
 FORMAT = "gaphub-legacy-2"
 MAX_AGE_MS = 5_000.0  # an older snapshot comes from a process that has ended or was stopped
--- a/gaphub/ops/worker_overrides.py
+++ b/gaphub/ops/worker_overrides.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .page import add_checksum, decode_checked
+from .checksum import add_checksum, decode_checked
 
 # When full, the oldest override of an enabled worker is dropped; if all are disabled, a new one is refused.
 MAX_OVERRIDES = 16_384
