--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -34,7 +34,7 @@
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
 from .ops.retune import RELOADABLE_SETTINGS
-from .ops.shelf import SharedFiles
+from .ops.shared_files import SharedFiles
 from .store import Store
 from .tasks import Tasks
 
