--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -33,7 +33,7 @@
 from .net.ops import OpsServer
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
-from .ops.retune import RELOADABLE_SETTINGS
+from .ops.class_table import RELOADABLE_SETTINGS
 from .ops.shared_files import SharedFiles
 from .store import Store
 from .tasks import Tasks
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -20,7 +20,7 @@
 from gaphub import config
 from gaphub.interface import ClassSettings, Effect
 from gaphub.lab.world import Agent, Workers
-from gaphub.ops import legacy, retune
+from gaphub.ops import class_table, legacy
 from gaphub.ops.worker_overrides import Override, WorkerOverrides
 
 from .fake import World, entry
@@ -256,9 +256,10 @@
 @given(st.lists(st.dictionaries(st.sampled_from("pqrs"), CLASS, min_size=1), min_size=2, max_size=6),
        st.sets(st.integers(0, 5)))
 def test_a_row_never_changes_under_an_open_job(files: list[dict[str, ClassSettings]], busy: set[int]) -> None:
-    table = retune.ClassTable(tuple(files[0].values()), tuple(files[0]), {n: i for i, n in enumerate(files[0])})
+    table = class_table.ClassTable(tuple(files[0].values()), tuple(files[0]),
+                                   {name: i for i, name in enumerate(files[0])})
     for file in files[1:]:
-        updated, new_rows = retune.updated_table(table, list(file.values()), list(file), busy)
+        updated, new_rows = class_table.updated_table(table, list(file.values()), list(file), busy)
         assert {name: updated.rows[row] for name, row in updated.active_rows.items()} == file
         assert len(set(updated.active_rows.values())) == len(file)
         for row in [r for r in range(len(table.rows)) if r in busy or r in table.active_rows.values()]:
