--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -41,7 +41,7 @@
 from .metrics import Counters
 from .ops.class_table import effective_settings, initial_table, updated_table
 from .ops.job_stats import JobStats
-from .ops.legacy import decode_state, encode_state, restore_state
+from .ops.state_snapshot import decode_state, encode_state, restore_state
 from .ops.worker_overrides import WorkerOverrides
 from .request_log import format_request
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -20,7 +20,7 @@
 from gaphub import config
 from gaphub.interface import ClassSettings, Effect
 from gaphub.lab.world import Agent, Workers
-from gaphub.ops import class_table, legacy
+from gaphub.ops import class_table, state_snapshot
 from gaphub.ops.worker_overrides import Override, WorkerOverrides
 
 from .fake import World, entry
@@ -278,23 +278,23 @@
         old.serve(old.request(), 50.0 + i)
         old.wait(20.0)
     old.balancer.fleet.workers[3].cold_allowance.light = -2.0
-    encoded = legacy.encode_state(old.balancer, "n0", old.now, active_rows, names)
+    encoded = state_snapshot.encode_state(old.balancer, "n0", old.now, active_rows, names)
     new = world()
-    snapshot = legacy.decode_state(encoded, "n0", old.now + 100.0)
+    snapshot = state_snapshot.decode_state(encoded, "n0", old.now + 100.0)
     assert snapshot is not None
-    legacy.restore_state(new.balancer, snapshot, active_rows, {"a": 1, "b": 2, "c": 3})
+    state_snapshot.restore_state(new.balancer, snapshot, active_rows, {"a": 1, "b": 2, "c": 3})
     assert (new.balancer.class_types[0].mean_log == old.balancer.class_types[0].mean_log
             != world().balancer.class_types[0].mean_log)
     assert new.balancer.class_types[0].samples == old.balancer.class_types[0].samples
     assert new.balancer.fleet.workers[3].cold_allowance.light == -2.0
     new.serve(new.request())
     other = World(entries=[entry(3, ready_at=950.0)], cold_ms=60_000.0)  # restarted: keeps its own allowances
-    legacy.restore_state(other.balancer, snapshot, active_rows, {"c": 3})
+    state_snapshot.restore_state(other.balancer, snapshot, active_rows, {"c": 3})
     assert other.balancer.fleet.workers[3].cold_allowance.light >= 0.0
     for invalid, name, now in ((encoded[:-1], "n0", old.now), (encoded, "n1", old.now), (b"", "n0", old.now),
-                               (encoded, "n0", old.now + legacy.MAX_AGE_MS + 1.0),
+                               (encoded, "n0", old.now + state_snapshot.MAX_AGE_MS + 1.0),
                                (encoded, "n0", old.now - 1.0)):
-        assert legacy.decode_state(invalid, name, now) is None
+        assert state_snapshot.decode_state(invalid, name, now) is None
 
 
 # --- upgrades: two processes of one scheduler --------------------------------------------------------
