--- a/gaphub/cold_start.py
+++ b/gaphub/cold_start.py
@@ -70,9 +70,9 @@
         if cost <= LIGHT_COST:
             self.light = min(self.light, LIGHT_COST - self.phase)
             return self.light + self.phase >= cost
-        owed = (1.0 - self.phase) * cost
-        self.heavy = min(self.heavy, owed)
-        return self.heavy >= owed
+        required = (1.0 - self.phase) * cost
+        self.heavy = min(self.heavy, required)
+        return self.heavy >= required
 
     def spend(self, cost: float) -> None:
         """Deduct the cost of a request that was sent."""
--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -419,7 +419,7 @@
         if not self.shares_counts or not self.occupancy.complete(now):
             return 0.0
         slots = self.reports.idle_free_slots.get(worker.kind, 0.0)
-        if worker.ready_at > 0.0:  # cold: as many as it runs at the speed of a warm worker
+        if worker.ready_at > 0.0:  # cold: as many as run at full speed; with all in use, each would be slow
             return min(1.0, slots) * max(1.0, round(slots * self._warm_fraction(worker, now)))
         return round(slots)
 
--- a/gaphub/quota.py
+++ b/gaphub/quota.py
@@ -41,6 +41,6 @@
         return within
 
     def record_report(self, own: float, reported: float) -> None:
-        """Record a worker's number of requests in flight, and this scheduler's own slots out there."""
+        """Record a worker's reported number of requests in flight, and this scheduler's own slots there."""
         self._own_reported = self._own_reported * REPORT_DECAY + min(own, reported)
         self._all_reported = self._all_reported * REPORT_DECAY + reported
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -141,12 +141,12 @@
     copies=st.booleans(),
     starts=st.booleans(),
     ask=st.booleans(),
-    looks=st.booleans(),
-    told=st.booleans(),
+    probes=st.booleans(),
+    peers=st.booleans(),
 )
 def test_rules_hold_for_any_legal_events(
-    steps: list[tuple[str, int, int]], seed: int, copies: bool, starts: bool, ask: bool, looks: bool,
-    told: bool
+    steps: list[tuple[str, int, int]], seed: int, copies: bool, starts: bool, ask: bool, probes: bool,
+    peers: bool
 ) -> None:
     config = Settings(
         classes=CLASSES,
@@ -156,12 +156,12 @@
         second_copies=copies,
         tells_start=starts,
         must_ask=ask,
-        may_probe=looks,
-        reports_in_probes=looks,
+        may_probe=probes,
+        reports_in_probes=probes,
         progress_ms=500.0,
         report_fields=("free_slots", "queue"),
         balancers=3,
-        may_tell_peers=told,
+        may_tell_peers=peers,
     )
     checker = RuleChecker(config)
     checker.now = 500.0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -126,19 +126,19 @@
 @example(10, 20.0, [8] * 80, [1.0] * 80)
 @example(140, 6.0, [8] * 80 + [0] * 60, [1.0] * 140)
 def test_cold_shares_of_a_fleet_never_add_up_to_more_than_the_worker_bears(
-        senders: int, bears: float, grown: list[int], lasts: list[float]) -> None:
+        senders: int, load_limit: float, growth: list[int], durations: list[float]) -> None:
     slot = 100.0
-    shares = [ColdShare(i, senders, bears, slot, float(grown[i % len(grown)])) for i in range(senders)]
-    assert sum(s.window for s in shares) <= bears + 1e-9
+    shares = [ColdShare(i, senders, load_limit, slot, float(growth[i % len(growth)])) for i in range(senders)]
+    assert sum(s.window for s in shares) <= load_limit + 1e-9
     ends: list[list[float]] = [[] for _ in shares]
-    most = 2 * math.ceil(bears) if bears < senders else bears
+    max_open = 2 * math.ceil(load_limit) if load_limit < senders else load_limit
     for step in range(200):
         now = step * slot / 4
         for i, share in enumerate(shares):
             ends[i] = [t for t in ends[i] if t > now]
             while share.admits(len(ends[i]), now):
-                ends[i].append(now + lasts[i % len(lasts)] * slot)
-        assert sum(len(e) for e in ends) <= most
+                ends[i].append(now + durations[i % len(durations)] * slot)
+        assert sum(len(e) for e in ends) <= max_open
 
 
 def test_a_cold_share_grows_with_good_answers_and_shrinks_with_errors() -> None:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -13,8 +13,8 @@
 def test_without_a_step_a_start_is_as_it_is_told() -> None:
     starts = StartTimes()
     starts.record_wall_clock(0.2)
-    for told in (0.0, NOW - 5 * HOUR, NOW - 20.0, NOW + MAX_AHEAD_MS):
-        assert starts.to_own_clock(f"w{told}", told, NOW) == told
+    for stamp in (0.0, NOW - 5 * HOUR, NOW - 20.0, NOW + MAX_AHEAD_MS):
+        assert starts.to_own_clock(f"w{stamp}", stamp, NOW) == stamp
     starts.record_answer(NOW)
     assert starts.to_own_clock("w", NOW - DISCOVERY_LAG_MS, NOW + 10.0) == NOW - DISCOVERY_LAG_MS
 
