--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -17,10 +17,9 @@
 from typing import TYPE_CHECKING, Any
 
 from . import __version__
-from .admin import Admin
+from .admin import AdminSocket
 from .clock import Clock
-from .config import Address, Config, ConfigError, check_successor, load
-from .config import address as parse_address
+from .config import Address, Config, ConfigError, check_reload, load, parse_address
 from .core import Core
 from .interface import Settings
 from .metrics import Counters, Sinks
@@ -31,11 +30,11 @@
 from .net.gearman import Gearman
 from .net.http import INBOUND_SOCKET_SHARE, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
-from .net.ops import Ops
+from .net.ops import OpsServer
 from .net.peers import Peers
 from .occupancy.status import occupancy_status
-from .ops.retune import TAKEN
-from .ops.shelf import Shelf
+from .ops.retune import RELOADABLE_SETTINGS
+from .ops.shelf import SharedFiles
 from .store import Store
 from .tasks import Tasks
 
@@ -54,7 +53,8 @@
 
 def _startup_settings(settings: Settings) -> dict[str, Any]:
     """The settings that take effect only at startup."""
-    return {f.name: getattr(settings, f.name) for f in fields(settings) if f.name not in (*TAKEN, "classes")}
+    return {f.name: getattr(settings, f.name) for f in fields(settings)
+            if f.name not in (*RELOADABLE_SETTINGS, "classes")}
 
 
 class ConfigReloader:
@@ -80,13 +80,13 @@
                 reload()
             try:
                 new = self._read()
-                check_successor(self.config, new)
+                check_reload(self.config, new)
             except ConfigError as error:
                 self._counters.log("reloads.failed", str(error))
-                core.figures.reload_failure += 1
+                core.job_stats.reload_failure += 1
                 continue
             self._counters.add("reloads.done")
-            core.figures.reload_success += 1
+            core.job_stats.reload_success += 1
             core.apply_settings(new.settings, new.class_names, keep_rows=bool(new.fronts.gearman.listen))
             pending = [key for key in STARTUP_ONLY if getattr(new, key) != getattr(self.config, key)]
             if _startup_settings(new.settings) != _startup_settings(self.config.settings):
@@ -112,16 +112,16 @@
             **(address.status() if address is not None else {}), "counters": counters.snapshot()}
 
 
-def create_ops(listen: Address, config: Config, core: Core, counters: Counters, shelf: Shelf,
-               inbound: Inbound, destinations: DiscoveryClient) -> Ops:
+def create_ops(listen: Address, config: Config, core: Core, counters: Counters, shared_files: SharedFiles,
+               inbound: Inbound, destinations: DiscoveryClient) -> OpsServer:
     """The operations endpoint, with the functions that answer its requests."""
 
     def set_disabled(worker: str, disabled: bool) -> int:
         if not core.ever_listed(worker):
             return 404
-        if not core.outs.say(core.clock.now(), worker, disabled):
+        if not core.overrides.record(core.clock.now(), worker, disabled):
             return 507
-        shelf.put()
+        shared_files.save_overrides()
         core.apply_operator_changes([worker])
         return 200
 
@@ -131,8 +131,8 @@
         grace_over = core.clock.now() - started_at > DISCOVERY_GRACE_MS and core.count_targets()[0] > 0
         return inbound.handler.ready and (destinations.has_answered or grace_over)
 
-    return Ops(listen, counters, max(4, config.limits.sockets // 32), ready,
-               lambda: core.figures.show(core.unanswered_jobs, *core.count_targets()), set_disabled)
+    return OpsServer(listen, counters, max(4, config.limits.sockets // 32), ready,
+                     lambda: core.job_stats.snapshot(core.unanswered_jobs, *core.count_targets()), set_disabled)
 
 
 async def serve(config: Config, counters: Counters, stop: asyncio.Event, reload: ConfigReloader) -> None:
@@ -167,21 +167,21 @@
                                       address.fence, 0.5 * part)
             # A request id that is open at one listener is refused at the other.
             address_inbound.handler.open_ids = inbound.handler.open_ids
-    admin = Admin(config.fronts.admin, counters, {"status": lambda: {
+    admin = AdminSocket(config.fronts.admin, counters, {"status": lambda: {
         **status(config, core, counters, address),
         **({"gearman": gearman_front.status()} if config.fronts.gearman.listen else {})},
         "occupancy": lambda: occupancy_status(core.balancer.occupancy, core.clock.now(),
                                               core.balancer.fleet.workers)})
-    shelf = Shelf(os.environ.get("TMPDIR") if config.admin else None, core.outs, counters,
-                  core.apply_operator_changes)
-    shelf.look()  # before any list, so that nothing is ever sent to a disabled worker
-    ops = None if config.admin is None else create_ops(config.admin, config, core, counters, shelf, inbound,
-                                                      destinations)
+    shared_files = SharedFiles(os.environ.get("TMPDIR") if config.admin else None, core.overrides, counters,
+                               core.apply_operator_changes)
+    shared_files.poll_overrides()  # before any list, so that nothing is ever sent to a disabled worker
+    ops = None if config.admin is None else create_ops(config.admin, config, core, counters, shared_files, inbound,
+                                                       destinations)
     core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearman_front}
     core.list_port = destinations
     core.peer_port = peers
     destinations.publish_cached()
-    if core.import_state(shelf.legacy()):
+    if core.import_state(shared_files.read_state_snapshot()):
         counters.add("ops.inherited")
     actors = Tasks(counters)
     try:
@@ -191,8 +191,8 @@
         await admin.open()
         if ops is not None:
             await ops.open()
-            actors.start(shelf.run())
-            actors.start(shelf.leave(core.export_state))
+            actors.start(shared_files.run())
+            actors.start(shared_files.write_state_snapshots(core.export_state))
         if address is not None:
             await address.open()
             reload.also_reload.append(address.node.reload_keys)
@@ -203,16 +203,16 @@
                      sinks.run_collectd(), sinks.run_log(), reload.run(destinations, core)):
             actors.start(work)
         inbound.handler.ready = True
-        shelf.serving()
+        shared_files.start_serving()
         counters.add("ready")
         if address is not None:
             address.node.set_ready(True)
         await stop.wait()
         gearman_front.leave()
         peers.announce_leaving()
-        if successor := bool(shelf.others_began_ns()):
+        if successor := bool(shared_files.others_serving_since_ns()):
             await peers.close()  # the kernel delivers a datagram to one of two sockets: leave all to the successor
-        shutdowns = [inbound.shut_down(peers.others_serve, successor, SECOND if shelf.began_first else FIRST)]
+        shutdowns = [inbound.shut_down(peers.others_serve, successor, SECOND if shared_files.is_oldest else FIRST)]
         if address is not None:
             shutdowns.append(address.hand_over())
         if address_inbound is not None:
@@ -220,7 +220,7 @@
         await asyncio.gather(*shutdowns)
     finally:
         await inbound.close()
-        shelf.close()
+        shared_files.close()
         if address_inbound is not None:
             await address_inbound.close()
         if address is not None:
@@ -243,7 +243,7 @@
         from .logs import make_line_writer  # imports structlog: only where configured
 
         counters.line = make_line_writer(log.form, log.level, config.name)
-    reload = ConfigReloader(config, lambda: load(os.environ, again=True), counters)
+    reload = ConfigReloader(config, lambda: load(os.environ, is_reload=True), counters)
     for signal_number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload.requested)):
         asyncio.get_running_loop().add_signal_handler(signal_number, event.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -39,10 +39,10 @@
     PeerPort,
 )
 from .metrics import Counters
-from .ops.figures import Figures
-from .ops.legacy import leave, read, take
-from .ops.out import Outs
-from .ops.retune import first, follow, settings_for
+from .ops.job_stats import JobStats
+from .ops.legacy import decode_state, encode_state, restore_state
+from .ops.out import WorkerOverrides
+from .ops.retune import effective_settings, initial_table, updated_table
 from .request_log import format_request
 
 MAILBOX_SIZE = 4096  # messages; when it is full, requests are refused and all other senders wait
@@ -57,11 +57,11 @@
                  class_names: Sequence[str] = (), name: str = "") -> None:
         """``class_names``: names of the settings' classes in statistics; ``name``: the scheduler's name."""
         self.settings = settings
-        self.class_table = first(settings, class_names or [str(i) for i in range(len(settings.classes))])
-        self.figures = Figures()
-        self.figures.know(self.class_names)
-        self.outs = Outs(name)
-        self.destinations = DestinationTable(self.outs, self._forget)
+        self.class_table = initial_table(settings, class_names or [str(i) for i in range(len(settings.classes))])
+        self.job_stats = JobStats()
+        self.job_stats.add_classes(self.class_names)
+        self.overrides = WorkerOverrides(name)
+        self.destinations = DestinationTable(self.overrides, self._forget)
         self.clock = clock
         self.counters = counters
         self.ports: dict[str, CallPort] = {}
@@ -103,7 +103,7 @@
 
     def reject(self, job: Job, retry_after_ms: float = 1e9) -> Answer:
         """Refuse a job that the core does not accept, and count it."""
-        self.figures.ended(self.class_names[job.class_index], FinalStatus.REFUSED.value)
+        self.job_stats.count_final_status(self.class_names[job.class_index], FinalStatus.REFUSED.value)
         return self.refusal(retry_after_ms)
 
     def refusal(self, retry_after_ms: float = 1e9) -> Answer:
@@ -123,9 +123,9 @@
         """
         busy_rows = (set(range(len(self.class_table.rows))) if keep_rows
                      else {j.class_index for j in self._jobs.values()})
-        self.class_table, new_rows = follow(self.class_table, settings.classes, names, busy_rows)
-        self.settings = settings_for(self.settings, settings, self.class_table)
-        self.figures.know(names)
+        self.class_table, new_rows = updated_table(self.class_table, settings.classes, names, busy_rows)
+        self.settings = effective_settings(self.settings, settings, self.class_table)
+        self.job_stats.add_classes(names)
         self.destinations.classes_changed()
         self.balancer.on_settings(self.settings, new_rows)
 
@@ -270,7 +270,7 @@
         job.final_status = answer.final_status.value + job.give_up_reason
         job.answered_after_ms = self.clock.now() - job.received_at
         self.counters.add(f"requests.{answer.final_status.value}")
-        self.figures.ended(self.class_names[job.class_index], answer.final_status.value)
+        self.job_stats.count_final_status(self.class_names[job.class_index], answer.final_status.value)
         try:
             job.reply(answer)
         except Exception as error:  # a failing front end must not stop the core
@@ -286,7 +286,7 @@
 
     def call_written(self, call: Call) -> None:
         """Called by a port when it wrote the last byte of a call."""
-        self.figures.dispatched(self.class_names[call.job.class_index])
+        self.job_stats.count_dispatch(self.class_names[call.job.class_index])
 
     def forward_update(self, call: Call, kind: str, data: tuple[bytes, ...]) -> None:
         """Pass an update on a call to the front end that received the request."""
@@ -528,22 +528,22 @@
     def export_state(self) -> bytes:
         """The state that a successor process can start from."""
         names = {d.number: d.listed.name for d in self.destinations.by_number.values()}
-        return leave(self.balancer, self.outs.scheduler, self.clock.now(), dict(self.class_table.live), names,
-                     self.clock.unix_offset_ms)
+        return encode_state(self.balancer, self.overrides.scheduler, self.clock.now(),
+                            dict(self.class_table.active_rows), names, self.clock.unix_offset_ms)
 
     def import_state(self, data: bytes) -> bool:
         """Start from the state that an earlier process of this scheduler left; False if it is not usable."""
-        page = read(data, self.outs.scheduler, self.clock.now(), self.clock.unix_offset_ms)
+        page = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.unix_offset_ms)
         if page is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            take(self.balancer, page, dict(self.class_table.live), numbers)
+            restore_state(self.balancer, page, dict(self.class_table.active_rows), numbers)
         return page is not None
 
     def count_targets(self) -> tuple[int, int]:
         """The numbers of listed destinations, and of those disabled by operators or ejected for now."""
         now = self.clock.now()
         workers = self.balancer.fleet.workers
-        disabled = sum(self.outs.holds(d.listed.name)
+        disabled = sum(self.overrides.is_disabled(d.listed.name)
                        or (d.number in workers and workers[d.number].ejected_until > now)
                        for d in self.destinations.by_number.values())
         return len(self.destinations.by_number), disabled
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -12,7 +12,7 @@
 
 from .interface import ListedWorker, ListKind, WorkerState
 from .messages import Destination, ListedDestination, worker_identity
-from .ops.out import Outs
+from .ops.out import WorkerOverrides
 from .start_times import StartTimes
 
 MAX_REMEMBERED_NAMES = 65_536  # names of destinations ever listed; the one unlisted for the longest is dropped
@@ -21,9 +21,9 @@
 class DestinationTable:
     """The listed destinations, by number."""
 
-    def __init__(self, outs: Outs, forget: Callable[[Destination], None]) -> None:
-        """``outs``: workers disabled by operators; ``forget`` is called for each that restarts, moves or goes."""
-        self.outs = outs
+    def __init__(self, overrides: WorkerOverrides, forget: Callable[[Destination], None]) -> None:
+        """``overrides``: the operators' overrides; ``forget`` is called for each that restarts, moves or goes."""
+        self.overrides = overrides
         self.by_number: dict[int, Destination] = {}
         self._forget = forget
         self._numbers: dict[tuple[str, str], int] = {}  # by (source, name)
@@ -115,7 +115,7 @@
             del self._numbers[source, entry.name], self.by_number[number]
         else:
             destination.reported_state = entry.state
-            if entry.state == WorkerState.READY and self.outs.holds(entry.name):
+            if entry.state == WorkerState.READY and self.overrides.is_disabled(entry.name):
                 entry = replace(entry, state=WorkerState.DRAINING)
             destination.listed = entry
         started_at = self._starts.to_own_clock(f"{source}/{entry.name}", entry.started_ms, now)
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -20,7 +20,7 @@
 import h11
 import msgspec
 
-from ..config import GARBLED, Address, Config, ConfigError, DestinationList, ListedEntry, address
+from ..config import DECODE_ERRORS, Address, Config, ConfigError, DestinationList, ListedEntry, parse_address
 from ..core import Core
 from ..interface import ListKind, WorkerState
 from ..messages import ListedDestination
@@ -206,7 +206,7 @@
         try:
             answer = msgspec.json.decode(body, type=DestinationList)
             entries = self._entries(answer)
-        except GARBLED as error:
+        except DECODE_ERRORS as error:
             self.counters.log("garbled.list", str(error))
             await asyncio.sleep(self._initial_pause_s())
             return True
@@ -230,7 +230,7 @@
         and abort its handling of a request midway.
         """
         try:
-            address(entry.addr, entry.id)
+            parse_address(entry.addr, entry.id)
         except ConfigError as error:
             if entry.state == "active":  # that a worker drains or is gone counts without an address
                 self.counters.log("garbled.entry", str(error))
--- a/gaphub/net/http/answer.py
+++ b/gaphub/net/http/answer.py
@@ -12,7 +12,7 @@
 import h11
 import msgspec
 
-from ...config import GARBLED
+from ...config import DECODE_ERRORS
 from ...core import Core
 from ...interface import Status
 from ...messages import Call, Outcome
@@ -110,7 +110,7 @@
     def _decode(self, text: bytes) -> AnswerLine:
         try:
             return _line_decoder.decode(text)
-        except GARBLED as error:
+        except DECODE_ERRORS as error:
             raise self._malformed(str(error)) from None
 
     def _malformed(self, reason: str) -> ConnectionLostError:
--- a/gaphub/net/http/handler.py
+++ b/gaphub/net/http/handler.py
@@ -195,7 +195,8 @@
             await self._write_answer(http, session, 404 if event.method == b"GET" else 405, b"")
         else:
             future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-            job = parse_job(event, body, self.core.class_table.live, received_at, lambda a: _set_answer(future, a))
+            job = parse_job(event, body, self.core.class_table.active_rows, received_at,
+                            lambda a: _set_answer(future, a))
             if job.ident in self.open_ids:
                 raise BadRequestError(409, "X-Request-ID is in use by an open request")
             session.had_job = True
--- a/gaphub/net/http/inbound.py
+++ b/gaphub/net/http/inbound.py
@@ -149,7 +149,8 @@
 
     def _longest_deadline_ms(self) -> float:
         """Longest deadline of the classes in force; open jobs may belong to others, but SIGKILL ignores those."""
-        return max(self.core.settings.classes[row].deadline_ms for row in self.core.class_table.live.values())
+        return max(self.core.settings.classes[row].deadline_ms
+                   for row in self.core.class_table.active_rows.values())
 
     def _close_unfinished(self) -> None:
         """Close idle connections and end partly received requests with an error, as SIGKILL may be imminent.
--- a/gaphub/ops/legacy.py
+++ b/gaphub/ops/legacy.py
@@ -1,8 +1,9 @@
-"""Owns what a scheduler's process leaves its successor: what it has measured, and its allowances at cold workers.
+"""Snapshot of a scheduler's learned state for the process that succeeds it in an upgrade.
 
-Pure: no I/O, no clock.  A page says when it was written; an old one is not believed, and of what it names
-only workers of the same start and classes of the same rules are taken.  It must never carry counts of what is out:
-those end with the process that sent it.
+It holds the measured values and the allowances of cold workers.  Pure: no I/O, no clock.  A snapshot carries the
+time at which it was written, and an old one is rejected.  Only classes with unchanged rules are restored, and
+allowances only of workers that have not restarted since.  A snapshot never holds counts of attempts that are out:
+those end with the process that sent them.
 """
 
 from __future__ import annotations
@@ -12,106 +13,115 @@
 from ..interface import ClassSettings
 from ..logic import Balancer
 from ..workers import Worker
-from .page import seal, unseal
+from .page import add_checksum, decode_checked
 
 FORMAT = "gaphub-legacy-2"
-AGE_MS = 5_000.0  # an older page is of a process that ended, or stood still
-SAME_START_MS = 5.0  # two processes reckon one start alike but for so much
-MOMENTS = ("served_at", "began")  # of what is measured: moments of the clock
+MAX_AGE_MS = 5_000.0  # an older snapshot comes from a process that has ended or was stopped
+START_TOLERANCE_MS = 5.0  # two processes may differ by this much in the start time they compute for a worker
+TIMESTAMPS = ("served_at", "began")  # the stored names whose values are times of the clock
 MEASURED = {  # stored name -> attribute of the Balancer
     "service": "mean_response_ms", "ran": "mean_run_ms", "mean_cost": "mean_cost", "served_cost": "served_cost",
     "served_at": "served_at", "strain": "saturation", "local_busy": "local_busy", "began": "started_at",
 }
 
 
-class Profile(msgspec.Struct, frozen=True, array_like=True):
-    """One class: its rules as they were, its mean and the samples of its workers."""
+class ClassSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """One class: its rules at the time, its mean and the samples of its workers."""
 
     rules: ClassSettings
     mean: float
     served: int
     longest: float
-    samples: dict[str, tuple[float, float, float]]  # weight, weighted sum, when
+    samples: dict[str, tuple[float, float, float]]  # by worker: weight, weighted sum, time
 
 
-class Legacy(msgspec.Struct, frozen=True):
-    """What is left; times in ms of the clock of the process that wrote it."""
+class StateSnapshot(msgspec.Struct, frozen=True):
+    """The stored state; times in ms on the clock of the process that wrote it."""
 
     format: str
     scheduler: str
     at: float
-    base: float  # what that clock adds to the machine's monotonic one, which all processes share
+    base: float  # offset of that clock from the machine's monotonic clock, which all processes share
     values: dict[str, float]
-    free: dict[int, tuple[float, float]]  # by kind: the mean of idle workers' free slots, and the most seen
-    classes: dict[str, Profile]
-    cold: dict[str, tuple[float, float, float, float]]  # start, the two allowances, when they were last so
+    free: dict[int, tuple[float, float]]  # by kind: the mean of idle workers' free slots, and the maximum seen
+    classes: dict[str, ClassSnapshot]
+    cold: dict[str, tuple[float, float, float, float]]  # by worker: start, the two allowances, their time
 
 
-def leave(balancer: Balancer, scheduler: str, now: float, live: dict[str, int], names: dict[int, str],
-          base: float = 0.0) -> bytes:
-    """A page for the successor; ``live``: class names and rows, ``names``: the workers' ids by number.
+def encode_state(balancer: Balancer, scheduler: str, now: float, active_rows: dict[str, int],
+                 names: dict[int, str], base: float = 0.0) -> bytes:
+    """Encode a snapshot.
 
-    ``base``: what the clock adds to the machine's monotonic one.
+    ``active_rows``: the row of each class by name; ``names``: the workers' ids by number; ``base``: the offset of
+    the clock from the machine's monotonic clock.
     """
-    rows = {}
-    for name, row in live.items():
-        t = balancer.class_types[row]
-        samples = {names[w]: (s[0], s[1], s[2]) for w, s in t.samples.items() if w in names}
-        rows[name] = Profile(balancer.settings.classes[row], t.mean_log, t.served, balancer.longest_left_ms[row],
-                             samples)
-    r = balancer.reports
-    cold = {names[w.id]: (w.ready_at, w.cold_allowance.light, w.cold_allowance.heavy, w.cold_allowance.counted_at)
-            for w in balancer.fleet.workers.values() if w.ready_at > 0.0 and w.id in names}
-    page = Legacy(FORMAT, scheduler, now, base, {
-        key: float(getattr(balancer, attribute)) for key, attribute in MEASURED.items()},
-                  {kind: (mean, r.max_free_slots.get(kind, mean)) for kind, mean in r.idle_free_slots.items()},
-                  rows, cold)
-    return seal(msgspec.json.encode(page))
-
-
-def read(data: bytes, scheduler: str, now: float, base: float = 0.0) -> Legacy | None:
-    """A page, its moments on this clock; None if it is torn, old, of another form or of another scheduler."""
-    page = unseal(data, Legacy)
-    if page is None or page.format != FORMAT or page.scheduler != scheduler:
+    classes = {}
+    for name, row in active_rows.items():
+        job_type = balancer.class_types[row]
+        samples = {names[number]: (sample[0], sample[1], sample[2])
+                   for number, sample in job_type.samples.items() if number in names}
+        classes[name] = ClassSnapshot(balancer.settings.classes[row], job_type.mean_log, job_type.served,
+                                      balancer.longest_left_ms[row], samples)
+    reports = balancer.reports
+    cold = {names[worker.id]: (worker.ready_at, worker.cold_allowance.light, worker.cold_allowance.heavy,
+                               worker.cold_allowance.counted_at)
+            for worker in balancer.fleet.workers.values() if worker.ready_at > 0.0 and worker.id in names}
+    snapshot = StateSnapshot(
+        FORMAT, scheduler, now, base,
+        {key: float(getattr(balancer, attribute)) for key, attribute in MEASURED.items()},
+        {kind: (mean, reports.max_free_slots.get(kind, mean)) for kind, mean in reports.idle_free_slots.items()},
+        classes, cold)
+    return add_checksum(msgspec.json.encode(snapshot))
+
+
+def decode_state(data: bytes, scheduler: str, now: float, base: float = 0.0) -> StateSnapshot | None:
+    """Decode a snapshot, with its times converted to this clock.
+
+    None if it is corrupt, too old, in another format or from another scheduler.
+    """
+    snapshot = decode_checked(data, StateSnapshot)
+    if snapshot is None or snapshot.format != FORMAT or snapshot.scheduler != scheduler:
         return None
-    # By the monotonic clock: the wall clock may have been stepped between the starts of the two processes.
-    page = _moved(page, base - page.base)
-    return page if 0.0 <= now - page.at <= AGE_MS else None
-
-
-def _moved(page: Legacy, by: float) -> Legacy:
-    """The same page with all its moments later by so much."""
-    values = {key: value + by if key in MOMENTS else value for key, value in page.values.items()}
-    classes = {name: msgspec.structs.replace(profile, samples={
-        worker: (weight, total, at + by) for worker, (weight, total, at) in profile.samples.items()})
-        for name, profile in page.classes.items()}
-    cold = {worker: (started + by, light, heavy, at + by if at >= 0.0 else at)
-            for worker, (started, light, heavy, at) in page.cold.items()}
-    return msgspec.structs.replace(page, at=page.at + by, base=page.base + by, values=values, classes=classes,
-                                   cold=cold)
-
-
-def take(balancer: Balancer, page: Legacy, live: dict[str, int], numbers: dict[str, int]) -> None:
-    """Let a fresh Balancer go on from a page; ``numbers``: the listed workers' numbers by id."""
+    # Compared on the monotonic clock: the wall clock may have been stepped between the starts of the processes.
+    snapshot = _shifted(snapshot, base - snapshot.base)
+    return snapshot if 0.0 <= now - snapshot.at <= MAX_AGE_MS else None
+
+
+def _shifted(snapshot: StateSnapshot, offset_ms: float) -> StateSnapshot:
+    """The snapshot with all its times shifted by ``offset_ms``."""
+    values = {key: value + offset_ms if key in TIMESTAMPS else value for key, value in snapshot.values.items()}
+    classes = {name: msgspec.structs.replace(class_snapshot, samples={
+        worker: (weight, total, at + offset_ms) for worker, (weight, total, at) in class_snapshot.samples.items()})
+        for name, class_snapshot in snapshot.classes.items()}
+    cold = {worker: (started + offset_ms, light, heavy, at + offset_ms if at >= 0.0 else at)
+            for worker, (started, light, heavy, at) in snapshot.cold.items()}
+    return msgspec.structs.replace(snapshot, at=snapshot.at + offset_ms, base=snapshot.base + offset_ms,
+                                   values=values, classes=classes, cold=cold)
+
+
+def restore_state(balancer: Balancer, snapshot: StateSnapshot, active_rows: dict[str, int],
+                  numbers: dict[str, int]) -> None:
+    """Load a snapshot into a newly created Balancer; ``numbers``: the listed workers' numbers by id."""
     for key, attribute in MEASURED.items():
-        if key in page.values:
-            setattr(balancer, attribute, page.values[key])
-    for kind, (mean, most) in page.free.items():
+        if key in snapshot.values:
+            setattr(balancer, attribute, snapshot.values[key])
+    for kind, (mean, max_free) in snapshot.free.items():
         if 0 <= kind < balancer.settings.kinds:
             balancer.reports.idle_free_slots[kind] = mean
-            balancer.reports.max_free_slots[kind] = most
+            balancer.reports.max_free_slots[kind] = max_free
     workers: dict[int, Worker] = balancer.fleet.workers
-    for name, profile in page.classes.items():
-        row = live.get(name)
-        if row is None or balancer.settings.classes[row] != profile.rules:
+    for name, class_snapshot in snapshot.classes.items():
+        row = active_rows.get(name)
+        if row is None or balancer.settings.classes[row] != class_snapshot.rules:
             continue
-        t = balancer.class_types[row]
-        t.mean_log, t.served, t.stale = profile.mean, profile.served, True
-        balancer.longest_left_ms[row] = profile.longest
-        for worker, sample in profile.samples.items():
-            if (number := numbers.get(worker)) in workers:
-                t.samples[number] = [*sample, workers[number].kind]
-    for worker, (started, light, heavy, at) in page.cold.items():
-        w = workers.get(numbers.get(worker, 0))
-        if w is not None and abs(w.ready_at - started) <= SAME_START_MS:
-            w.cold_allowance.light, w.cold_allowance.heavy, w.cold_allowance.counted_at = light, heavy, at
+        job_type = balancer.class_types[row]
+        job_type.mean_log, job_type.served, job_type.stale = class_snapshot.mean, class_snapshot.served, True
+        balancer.longest_left_ms[row] = class_snapshot.longest
+        for worker_id, sample in class_snapshot.samples.items():
+            if (number := numbers.get(worker_id)) in workers:
+                job_type.samples[number] = [*sample, workers[number].kind]
+    for worker_id, (started, light, heavy, at) in snapshot.cold.items():
+        worker = workers.get(numbers.get(worker_id, 0))
+        if worker is not None and abs(worker.ready_at - started) <= START_TOLERANCE_MS:
+            (worker.cold_allowance.light, worker.cold_allowance.heavy,
+             worker.cold_allowance.counted_at) = light, heavy, at
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -29,7 +29,7 @@
 from gaphub.metrics import Counters
 from gaphub.net.gearman import Gearman
 from gaphub.net.http import OUTBOUND_SOCKET_SHARE, Connection, Inbound, Pool, Pools
-from gaphub.net.ops import Ops
+from gaphub.net.ops import OpsServer
 
 from .discovery import AgentMode, Discovery
 from .processes import ADMIN, Process, counters, job, running
@@ -251,7 +251,7 @@
 
     record_limit(Inbound, "max_connections")
     record_limit(Pools, "free_sockets")
-    record_limit(Ops, "most")
+    record_limit(OpsServer, "max_connections")
     if fronts:
         record_limit(Gearman, "most")
 
