--- a/gaphub/ops/worker_overrides.py
+++ b/gaphub/ops/worker_overrides.py
@@ -27,6 +27,8 @@
 
 
 class _OverridesFile(msgspec.Struct, frozen=True):
+    """The content of the file; its field names are part of the stored format."""
+
     format: str
     scheduler: str
     words: list[Override]
@@ -83,7 +85,7 @@
         return add_checksum(msgspec.json.encode(_OverridesFile(FORMAT, self.scheduler, self.entries())))
 
     def decode(self, data: bytes) -> list[Override] | None:
-        """Decode encoded overrides; None if corrupt, in another format or from another scheduler."""
+        """Decode the result of ``encode``; None if corrupt, in another format or from another scheduler."""
         file = decode_checked(data, _OverridesFile)
         if (file is None or file.format != FORMAT or file.scheduler != self.scheduler
                 or len(file.words) > MAX_OVERRIDES):
