--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -539,7 +539,7 @@
 @pytest.fixture
 def long_probe_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Give probes enough time however busy the machine is."""
-    monkeypatch.setattr(logic, "LOOK_MS", 4000.0)
+    monkeypatch.setattr(logic, "PROBE_WAIT_MS", 4000.0)
 
 
 @pytest.mark.usefixtures("long_probe_timeout")
