--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..config import AddressFront, BgpFront, address
+from ..config import AddressConfig, BgpConfig, parse_address
 from ..metrics import Counters
 from ..tasks import Tasks
 from .bgp import Update
@@ -37,7 +37,7 @@
         """Withdraw, say goodbye and give everything back."""
 
 
-def route(front: AddressFront, session: Session, term: int) -> Update:
+def route(front: AddressConfig, session: Session, term: int) -> Update:
     """The host route as one session is told it.
 
     Of two holders the router must believe the later: within an AS the term raises LOCAL_PREF, towards another
@@ -52,7 +52,7 @@
 class BgpAnnouncer:
     """A BGP session, and BFD where set, for each neighbour."""
 
-    def __init__(self, front: AddressFront, bgp: BgpFront, counters: Counters, clock: Callable[[], float],
+    def __init__(self, front: AddressConfig, bgp: BgpConfig, counters: Counters, clock: Callable[[], float],
                  holds: Callable[[], bool], seed: int) -> None:
         self.front = front
         self.counters = counters
@@ -64,12 +64,13 @@
         draw = random.Random(seed)
         for i, n in enumerate(bgp.neighbours):
             speaker = BgpSpeaker(
-                address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
+                parse_address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
                 Speaker(bgp.local_as, bgp.router_id, n.peer_as, bgp.hold_s, bgp.retry_s), counters, clock,
                 self._route)
             self.speakers.append(speaker)
             self.watchers.append(BfdSpeaker(
-                address(n.bfd_listen, "bfd_listen"), address(n.bfd, "bfd"), bgp.bfd_ms, bgp.bfd_multiplier,
+                parse_address(n.bfd_listen, "bfd_listen"), parse_address(n.bfd, "bfd"), bgp.bfd_ms,
+                bgp.bfd_multiplier,
                 counters, clock, lambda up, s=speaker: None if up else s.cease(10),  # type: ignore[misc]
                 draw) if n.bfd else None)
 
--- a/gaphub/net/http/outbound.py
+++ b/gaphub/net/http/outbound.py
@@ -8,7 +8,7 @@
 import asyncio
 from contextlib import suppress
 
-from ...config import Config, address
+from ...config import Config, parse_address
 from ...core import Core
 from ...interface import Status
 from ...messages import Call, Destination, Outcome
@@ -38,7 +38,7 @@
         self._calls: dict[int, asyncio.Task[None]] = {}
 
     def _pool_for(self, destination: Destination) -> Pool:
-        return self.pools.pool_for(address(destination.listed.addr, "addr"))
+        return self.pools.pool_for(parse_address(destination.listed.addr, "addr"))
 
     async def run(self) -> None:
         """Close idle connections well before the peer's idle time-out."""
@@ -56,7 +56,7 @@
     def forget(self, destination: Destination) -> None:
         """Discard the pool of a destination that is gone or has restarted."""
         with suppress(ValueError):  # there is no pool for an invalid address
-            self.pools.forget(address(destination.listed.addr, "addr"))
+            self.pools.forget(parse_address(destination.listed.addr, "addr"))
 
     # -- probes --
 
