--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -142,8 +142,8 @@
         core.log_request = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front end use file descriptors from the share of the HTTP clients.
-    part = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
-    inbound = Inbound(config, core, counters, socket_share=part)
+    socket_share = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
+    inbound = Inbound(config, core, counters, socket_share=socket_share)
     destinations = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
@@ -161,10 +161,10 @@
         gearman_front.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
             # The two listeners share the clients' sockets.
-            inbound = Inbound(config, core, counters, socket_share=0.5 * part)
+            inbound = Inbound(config, core, counters, socket_share=0.5 * socket_share)
             address_inbound = Inbound(config, core, counters,
                                       parse_address(config.fronts.address.listen, "address.listen"),
-                                      address.fence, 0.5 * part)
+                                      address.fence, 0.5 * socket_share)
             # A request id that is open at one listener is refused at the other.
             address_inbound.handler.open_ids = inbound.handler.open_ids
     admin = AdminSocket(config.fronts.admin, counters, {"status": lambda: {
--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -533,11 +533,11 @@
 
     def import_state(self, data: bytes) -> bool:
         """Start from the state that an earlier process of this scheduler left; False if it is not usable."""
-        page = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.unix_offset_ms)
-        if page is not None:
+        snapshot = decode_state(data, self.overrides.scheduler, self.clock.now(), self.clock.unix_offset_ms)
+        if snapshot is not None:
             numbers = {d.listed.name: d.number for d in self.destinations.by_number.values()}
-            restore_state(self.balancer, page, dict(self.class_table.active_rows), numbers)
-        return page is not None
+            restore_state(self.balancer, snapshot, dict(self.class_table.active_rows), numbers)
+        return snapshot is not None
 
     def count_targets(self) -> tuple[int, int]:
         """The numbers of listed destinations, and of those disabled by operators or ejected for now."""
