--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -263,7 +263,7 @@
 
 
 def test_without_its_last_byte_the_worker_has_not_got_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http.exchange, "_stop_if", _late_fence())
+    monkeypatch.setattr(http.exchange, "_raise_if_stopped", _late_fence())
 
     async def run() -> None:
         async with Cast() as cast:
