--- a/gaphub/lab/scale/__init__.py
+++ b/gaphub/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What control traffic costs one scheduler, measured on real scheduler processes among stand-ins for the rest."""
+"""Measures what control traffic costs a scheduler: real scheduler processes among simulated ones."""
--- a/gaphub/lab/scale/budget.py
+++ b/gaphub/lab/scale/budget.py
@@ -1,4 +1,4 @@
-"""The size that the site is to reach, what a scheduler may spend on control there, and figures against it."""
+"""The target size of the site, a scheduler's budgets for control traffic there, and figures compared with them."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from .fit import Estimate
 
-DAY_S = 86_400
-SCHEDULERS = 200  # at the target, unless the command names another count
+SECONDS_PER_DAY = 86_400
+DEFAULT_SCHEDULERS = 200  # at the target; the command has an option for another count
 
 
 @dataclass(frozen=True)
 class Target:
-    """The size of the site that the figures are extrapolated to."""
+    """The size of the site to which the measured figures are extrapolated."""
 
     workers: int = 11_000
-    schedulers: int = SCHEDULERS
+    schedulers: int = DEFAULT_SCHEDULERS
     starts_per_s: float = 2_500.0
     tasks_running: int = 310_000
     teams: int = 730
@@ -27,17 +27,17 @@
 
     @property
     def changes_per_s(self) -> float:
-        """The mean pace of changes over a day."""
-        return self.changes_per_day / DAY_S
+        """The mean rate of changes over a day."""
+        return self.changes_per_day / SECONDS_PER_DAY
 
 
 @dataclass(frozen=True)
 class Budgets:
-    """What one scheduler may spend on control, and how soon a change must be in force."""
+    """What one scheduler may spend on control traffic, and how soon a change must be in force."""
 
     cpu_percent: float = 1.4  # of one core
     memory_mb: float = 256.0
-    traffic_kb_per_s: float = 15.0  # in, and as much out; 1 KB is 1,000 bytes
+    traffic_kb_per_s: float = 15.0  # in each direction; 1 KB is 1,000 bytes
     in_force_s: float = 6.0
 
 
@@ -45,16 +45,16 @@
 
 
 class Verdict(enum.Enum):
-    """How an estimate stands against its budget."""
+    """How an estimate compares with its budget."""
 
     OVER = "over"
-    UNDECIDED = "undecided"  # the budget lies within the interval
+    UNDECIDED = "undecided"  # the budget lies within the confidence interval
     WITHIN = "within"
 
 
 @dataclass(frozen=True)
 class Comparison:
-    """One figure at the target against its budget."""
+    """One figure, extrapolated to the target, and its budget."""
 
     sweep: str
     measure: str
@@ -63,12 +63,12 @@
 
     @property
     def factor(self) -> float:
-        """How many budgets the figure takes: over 1 it exceeds the budget."""
+        """The figure as a multiple of its budget."""
         return self.estimate.value / self.budget
 
     @property
     def verdict(self) -> Verdict:
-        """Over or within only if the whole interval is."""
+        """``OVER`` or ``WITHIN`` only if this holds for the whole confidence interval."""
         if self.estimate.low > self.budget:
             return Verdict.OVER
         if self.estimate.high <= self.budget:
@@ -76,6 +76,6 @@
         return Verdict.UNDECIDED
 
 
-def ranked(comparisons: Iterable[Comparison]) -> list[Comparison]:
-    """The worst factor first; equal ones by their names."""
+def rank_by_factor(comparisons: Iterable[Comparison]) -> list[Comparison]:
+    """Sorts by descending factor, and equal factors by sweep and measure."""
     return sorted(comparisons, key=lambda each: (-each.factor, each.sweep, each.measure))
--- a/gaphub/lab/scale/discovery.py
+++ b/gaphub/lab/scale/discovery.py
@@ -1,6 +1,6 @@
-"""Owns the stand-in for discovery's agents: one list, and an agent for each real scheduler that counts its bytes.
+"""Simulated discovery agents: one worker list, and for each real scheduler an agent that counts bytes.
 
-It serves the whole list and watches.  A change is a worker that leaves the list or joins it again.
+An agent serves the full list and watches (long polls).  A change of the list removes a worker or adds it again.
 """
 
 from __future__ import annotations
@@ -16,56 +16,60 @@
 from ..world import read_head
 from .hollow import worker_name
 
-WAIT_MOST_S = 5.0  # of a watch
+MAX_WATCH_S = 5.0  # the longest time that a watch is held open
 
 
 class Registry:
-    """The list of workers, and which change was made with which version."""
+    """The list of workers, and the change that each version of it made."""
 
     def __init__(self, workers: int, zones: int, addresses: Sequence[Address], seed: int) -> None:
-        """``addresses``: of the few workers that answer; the list names each of them many times."""
+        """``addresses``: of the few workers that listen; the list gives each of them to many workers."""
         self.workers = workers
         self.zones = zones
         self.addresses = addresses
         self.listed = [True] * workers
         self.version = 1
-        self.changed = asyncio.Event()  # replaced with each change
-        self._changes: list[int] = []  # the worker of each version from the second on
-        self._draw = random.Random(seed)
+        self.changed = asyncio.Event()  # replaced at each change
+        self._changes: list[int] = []  # the worker that changed in each version, from version 2 on
+        self._random = random.Random(seed)
 
-    def set(self, worker: int, listed: bool) -> None:
-        """Take a worker out of the list, or put it in again."""
+    def set_listed(self, worker: int, listed: bool) -> None:
+        """Removes a worker from the list, or adds it again."""
         self.listed[worker] = listed
         self._changes.append(worker)
         self.version += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def restore(self) -> None:
-        """Put every worker in again."""
+    def relist_all(self) -> None:
+        """Adds every removed worker again."""
         for worker in [w for w, listed in enumerate(self.listed) if not listed]:
-            self.set(worker, True)
+            self.set_listed(worker, True)
 
-    def by_zone(self) -> list[int]:
-        """All workers, zone by zone."""
+    def workers_by_zone(self) -> list[int]:
+        """All workers, ordered by zone."""
         return [w for zone in range(self.zones) for w in range(zone, self.workers, self.zones)]
 
     async def churn(self, per_s: float) -> None:
-        """Change the list at this rate for ever: a worker leaves, and joins again with the next change."""
-        out: int | None = None
+        """Changes the list at this rate until cancelled: each removed worker is added again by the next change.
+
+        The intervals between changes are exponentially distributed.
+        """
+        removed: int | None = None
         due = time.monotonic()
         while per_s > 0:
-            due += self._draw.expovariate(per_s)
+            due += self._random.expovariate(per_s)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            worker = self._draw.randrange(self.workers) if out is None else out
-            self.set(worker, out is not None)
-            out = worker if out is None else None
+            worker = self._random.randrange(self.workers) if removed is None else removed
+            self.set_listed(worker, removed is not None)
+            removed = worker if removed is None else None
 
-    def answer(self, since: int | None) -> bytes:
-        """The whole list, or what has changed since a version."""
-        some = range(self.workers) if since is None else sorted(set(self._changes[since - 1:]))
-        entries = [self._entry(w) for w in some if since is not None or self.listed[w]]
-        return msgspec.json.encode(DestinationList(version=self.version, full=since is None, servers=entries))
+    def encode_list(self, since_version: int | None) -> bytes:
+        """The full list (None), or the workers that have changed since a version."""
+        workers = range(self.workers) if since_version is None else sorted(set(self._changes[since_version - 1:]))
+        entries = [self._entry(w) for w in workers if since_version is not None or self.listed[w]]
+        return msgspec.json.encode(
+            DestinationList(version=self.version, full=since_version is None, servers=entries))
 
     def _entry(self, worker: int) -> ListedEntry:
         host, port = self.addresses[worker % len(self.addresses)]
@@ -74,63 +78,64 @@
 
 
 def zone_name(zone: int) -> str:
-    """A zone as the list and the settings spell it."""
+    """The name of a zone in the list and in the settings."""
     return f"z{zone}"
 
 
 class CountingAgent:
-    """The agent of one scheduler.
+    """The discovery agent of one scheduler.
 
-    A call counts when it is answered, with its answer: a window that ends while a call waits has neither.
+    A request is counted together with its answer, when it is answered.  A measured window that ends while a
+    request waits therefore counts neither.
     """
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
         self.address: Address = ("", 0)
-        self.asked_bytes = 0
-        self.answered_bytes = 0
+        self.request_bytes = 0
+        self.answer_bytes = 0
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen."""
+        """Starts to listen."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                first, headers = await read_head(reader)
-                body = await self._body(first.split(" ")[1])
+                request_line, headers = await read_head(reader)
+                body = await self._answer_body(request_line.split(" ")[1])
                 data = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
-                self.asked_bytes += _head_bytes(first, headers)
-                self.answered_bytes += len(data)
+                self.request_bytes += _head_bytes(request_line, headers)
+                self.answer_bytes += len(data)
                 writer.write(data)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError, IndexError):
-            pass  # the scheduler has gone
+            pass  # the scheduler closed the connection
         finally:
             writer.close()
 
-    async def _body(self, target: str) -> bytes:
-        asked = dict(part.partition("=")[::2] for part in target.partition("?")[2].split("&"))
-        since = int(asked.get("index", "0"))
-        if not 0 < since <= self.registry.version:
-            return self.registry.answer(None)
-        if since == self.registry.version:
-            wait_s = min(float(asked.get("wait", "0")) / 1000.0, WAIT_MOST_S)
+    async def _answer_body(self, target: str) -> bytes:
+        query = dict(part.partition("=")[::2] for part in target.partition("?")[2].split("&"))
+        since_version = int(query.get("index", "0"))
+        if not 0 < since_version <= self.registry.version:
+            return self.registry.encode_list(None)
+        if since_version == self.registry.version:
+            wait_s = min(float(query.get("wait", "0")) / 1000.0, MAX_WATCH_S)
             try:
                 async with asyncio.timeout(wait_s):
                     await self.registry.changed.wait()
             except TimeoutError:
                 pass
-        return self.registry.answer(since)
+        return self.registry.encode_list(since_version)
 
 
-def _head_bytes(first: str, headers: dict[str, str]) -> int:
-    """The length of a head on the wire."""
-    return len(first) + 4 + sum(len(name) + len(value) + 4 for name, value in headers.items())
+def _head_bytes(request_line: str, headers: dict[str, str]) -> int:
+    """The length in bytes of a request head on the wire."""
+    return len(request_line) + 4 + sum(len(name) + len(value) + 4 for name, value in headers.items())
--- a/gaphub/lab/scale/fit.py
+++ b/gaphub/lab/scale/fit.py
@@ -1,6 +1,6 @@
-"""Least squares of a measure on a load: the line, its intervals, and the points or bends that speak against it.
+"""Least-squares fit of a measure against a load: the line, confidence intervals, outliers and curvature.
 
-It must never drop a point: one that fits no line is marked, and stays in the fit that is shown.
+No point is ever dropped: an outlier is marked and stays in the fit.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 from .student import two_sided_quantile
 
-CONFIDENCE = 0.95  # of every interval
-POINTS_LEAST = 3  # two points lie on a line whatever they measure
-OUTLIER_LEVEL = 0.05  # the chance that a fit whose points all belong to its line has any point marked
-CURVATURE_LEVEL = 0.01  # the chance that a straight line is called bent
-ROUNDING = 1e-12  # residuals below this share of the greatest value are rounding, not noise
+CONFIDENCE = 0.95  # level of every interval
+MIN_POINTS = 3  # any two points lie on a line, which leaves no residuals
+OUTLIER_LEVEL = 0.05  # probability that any point is marked in a fit without outliers
+CURVATURE_LEVEL = 0.01  # probability that a straight line is taken for a curve
+ROUNDING_SHARE = 1e-12  # residuals below this share of the greatest value are rounding errors, not noise
 
 Vector = NDArray[np.float64]
 
 
 class FitError(ValueError):
-    """No line can be laid through the points."""
+    """No line can be fitted to the points."""
 
 
 class TooFewPointsError(FitError):
-    """Fewer points than a line with an interval needs."""
+    """There are fewer points than a line with a confidence interval needs."""
 
 
 class ConstantLoadError(FitError):
-    """All points have the same load, so nothing is known of the slope."""
+    """All points have the same load, so the slope is undetermined."""
 
 
 class NotFiniteError(FitError):
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """A value with its interval at ``CONFIDENCE``."""
+    """A value with its confidence interval at the level ``CONFIDENCE``."""
 
     value: float
     low: float
@@ -50,110 +50,113 @@
 
 @dataclass(frozen=True)
 class Line:
-    """A fitted line; the tuples run in the order of the points given."""
+    """A fitted line; the tuples are in the order of the given points."""
 
     count: int
     mean_x: float
     mean_y: float
-    spread_x: float  # the sum of squared distances of the loads from their mean
+    sum_of_squares_x: float  # of the distances of the loads from their mean
     intercept: float
     slope: Estimate
-    deviation: float  # the standard deviation of the residuals
-    r_squared: float | None  # None if all values are equal: there is no variance to explain
+    residual_deviation: float  # the standard deviation of the residuals
+    r_squared: float | None  # None if all values are equal, as there is no variance to explain
     residuals: tuple[float, ...]
     outliers: tuple[bool, ...]
-    curved: bool | None  # None if fewer than three loads or four points leave it untested
+    curved: bool | None  # None (untested) with fewer than three distinct loads or four points
 
     def mean_at(self, x: float) -> Estimate:
-        """The mean of the measure at a load; beyond the points it holds only as far as the line does."""
+        """The mean of the measure at a load; beyond the points it is an extrapolation of the line."""
         distance = x - self.mean_x
         value = self.mean_y + self.slope.value * distance
-        error = self.deviation * math.sqrt(1.0 / self.count + distance * distance / self.spread_x)
-        half = two_sided_quantile(CONFIDENCE, self.count - 2) * error
-        return Estimate(value, value - half, value + half)
+        error = self.residual_deviation * math.sqrt(1.0 / self.count + distance * distance / self.sum_of_squares_x)
+        half_width = two_sided_quantile(CONFIDENCE, self.count - 2) * error
+        return Estimate(value, value - half_width, value + half_width)
 
 
 def fit_line(loads: Sequence[float], values: Sequence[float]) -> Line:
-    """The least squares line of the values on the loads."""
+    """Fits a least-squares line of the values against the loads."""
     if len(loads) != len(values):
-        raise FitError("as many loads as values are needed")
-    if len(loads) < POINTS_LEAST:
-        raise TooFewPointsError(f"{len(loads)} points; a line needs {POINTS_LEAST}")
+        raise FitError("loads and values differ in number")
+    if len(loads) < MIN_POINTS:
+        raise TooFewPointsError(f"{len(loads)} points; a line needs {MIN_POINTS}")
     x, y = np.array(loads, dtype=np.float64), np.array(values, dtype=np.float64)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise NotFiniteError("a load or a value is not a finite number")
     mean_x, mean_y = float(x.mean()), float(y.mean())
-    from_mean = x - mean_x
-    spread_x = float(from_mean @ from_mean)
-    if x.max() == x.min() or spread_x == 0.0:
+    centred = x - mean_x
+    sum_of_squares_x = float(centred @ centred)
+    if x.max() == x.min() or sum_of_squares_x == 0.0:
         raise ConstantLoadError("all points have the same load")
-    slope = float(from_mean @ (y - mean_y)) / spread_x
-    residuals = _without_rounding(y - mean_y - slope * from_mean, y)
+    slope = float(centred @ (y - mean_y)) / sum_of_squares_x
+    residuals = _zero_rounding_noise(y - mean_y - slope * centred, y)
     squares = float(residuals @ residuals)
-    deviation = math.sqrt(squares / (len(x) - 2))
-    half = two_sided_quantile(CONFIDENCE, len(x) - 2) * deviation / math.sqrt(spread_x)
+    residual_deviation = math.sqrt(squares / (len(x) - 2))
+    half_width = two_sided_quantile(CONFIDENCE, len(x) - 2) * residual_deviation / math.sqrt(sum_of_squares_x)
     return Line(
-        count=len(x), mean_x=mean_x, mean_y=mean_y, spread_x=spread_x,
-        intercept=mean_y - slope * mean_x, slope=Estimate(slope, slope - half, slope + half), deviation=deviation,
+        count=len(x), mean_x=mean_x, mean_y=mean_y, sum_of_squares_x=sum_of_squares_x,
+        intercept=mean_y - slope * mean_x, slope=Estimate(slope, slope - half_width, slope + half_width),
+        residual_deviation=residual_deviation,
         r_squared=_r_squared(squares, y), residuals=tuple(float(each) for each in residuals),
-        outliers=_outliers(from_mean, residuals), curved=_curved(from_mean, residuals))
+        outliers=_outliers(centred, residuals), curved=_curved(centred, residuals))
 
 
-def _without_rounding(residuals: Vector, values: Vector) -> Vector:
-    """The residuals, all zero if what is left of the values is only rounding."""
-    if float(np.abs(residuals).max()) <= ROUNDING * float(np.abs(values).max()):
+def _zero_rounding_noise(residuals: Vector, values: Vector) -> Vector:
+    """The residuals; all zero if they are only rounding errors of the values."""
+    if float(np.abs(residuals).max()) <= ROUNDING_SHARE * float(np.abs(values).max()):
         return np.zeros_like(residuals)
     return residuals
 
 
 def _r_squared(squares: float, values: Vector) -> float | None:
-    from_mean = values - values.mean()
-    spread = float(from_mean @ from_mean)
-    if values.max() == values.min() or spread == 0.0:  # the squares of tiny differences vanish
+    centred = values - values.mean()
+    total_squares = float(centred @ centred)
+    if values.max() == values.min() or total_squares == 0.0:  # squares of tiny differences underflow
         return None
-    return 1.0 - squares / spread
+    return 1.0 - squares / total_squares
 
 
-def _outliers(from_mean: Vector, residuals: Vector) -> tuple[bool, ...]:
-    """Which points lie off the line of the others: the externally studentised residual, by Bonferroni's bound.
+def _outliers(centred: Vector, residuals: Vector) -> tuple[bool, ...]:
+    """Marks outliers by their externally studentised residuals, with the Bonferroni correction.
 
-    A fixed bound would mark good points where few points leave few degrees of freedom, so the bound follows from
-    the level and the count.
+    The bound depends on the significance level and the number of points: a fixed one would mark good points where
+    there are few degrees of freedom.
     """
     count = len(residuals)
-    degrees = count - 3
+    degrees_of_freedom = count - 3
     squares = float(residuals @ residuals)
-    if degrees < 1 or squares == 0.0:
+    if degrees_of_freedom < 1 or squares == 0.0:
         return (False,) * count
-    bound = two_sided_quantile(1.0 - OUTLIER_LEVEL / count, degrees)
-    freedom = 1.0 - 1.0 / count - from_mean**2 / float(from_mean @ from_mean)  # 1 - leverage
-    return tuple(_is_outlier(float(residual), float(free), squares, degrees, bound)
-                 for residual, free in zip(residuals, freedom, strict=True))
+    bound = two_sided_quantile(1.0 - OUTLIER_LEVEL / count, degrees_of_freedom)
+    one_minus_leverages = 1.0 - 1.0 / count - centred**2 / float(centred @ centred)
+    return tuple(_is_outlier(float(residual), float(one_minus_leverage), squares, degrees_of_freedom, bound)
+                 for residual, one_minus_leverage in zip(residuals, one_minus_leverages, strict=True))
 
 
-def _is_outlier(residual: float, free: float, squares: float, degrees: int, bound: float) -> bool:
-    """Whether one residual, against the variance that the other points leave, exceeds the bound."""
-    if free <= ROUNDING:  # the line passes through the point whatever it measures
+def _is_outlier(residual: float, one_minus_leverage: float, squares: float, degrees_of_freedom: int,
+                bound: float) -> bool:
+    """Whether a residual, studentised by the variance of the other points, exceeds the bound."""
+    if one_minus_leverage <= ROUNDING_SHARE:  # leverage 1: the line passes through the point whatever its value
         return False
-    own = residual * residual / free
-    variance = max(squares - own, 0.0) / degrees
-    return own > bound * bound * max(variance, ROUNDING * squares)
+    own_squares = residual * residual / one_minus_leverage
+    variance = max(squares - own_squares, 0.0) / degrees_of_freedom
+    return own_squares > bound * bound * max(variance, ROUNDING_SHARE * squares)
 
 
-def _curved(from_mean: Vector, residuals: Vector) -> bool | None:
-    """Whether a quadratic term explains more of the residuals than chance would: the F test of adding it."""
-    degrees = len(residuals) - 3
-    if degrees < 1 or len(np.unique(from_mean)) < 3:
+def _curved(centred: Vector, residuals: Vector) -> bool | None:
+    """Whether a quadratic term explains more of the residuals than chance would (F test); None if untested."""
+    degrees_of_freedom = len(residuals) - 3
+    if degrees_of_freedom < 1 or len(np.unique(centred)) < 3:
         return None
     squares = float(residuals @ residuals)
     if squares == 0.0:
         return False
-    scaled = from_mean / float(np.abs(from_mean).max())
+    scaled = centred / float(np.abs(centred).max())
     square = scaled**2 - float((scaled**2).mean())
-    bend = square - scaled * (float(scaled @ square) / float(scaled @ scaled))
-    if float(bend @ bend) <= ROUNDING:  # all but one or two of the loads are the same
+    quadratic = square - scaled * (float(scaled @ square) / float(scaled @ scaled))
+    if float(quadratic @ quadratic) <= ROUNDING_SHARE:  # all loads but one or two are equal
         return None
-    explained = float(bend @ residuals) ** 2 / float(bend @ bend)
-    left = max(squares - explained, ROUNDING * squares)
-    bound = two_sided_quantile(1.0 - CURVATURE_LEVEL, degrees) ** 2  # F of 1 and n degrees is the square of t
-    return explained / (left / degrees) > bound
+    explained = float(quadratic @ residuals) ** 2 / float(quadratic @ quadratic)
+    remaining = max(squares - explained, ROUNDING_SHARE * squares)
+    # The F distribution with 1 and n degrees of freedom is that of the square of t.
+    bound = two_sided_quantile(1.0 - CURVATURE_LEVEL, degrees_of_freedom) ** 2
+    return explained / (remaining / degrees_of_freedom) > bound
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -1,9 +1,9 @@
-"""Owns the hollow schedulers: what many schedulers would say to the real ones at a given load.
+"""Hollow schedulers: light simulated peers that send the real schedulers what many peers would at a given load.
 
-A hollow scheduler has a table of what runs where, a real ``Pacing`` that decides when to say what of it, and an
-address of its own.  It sends to the real schedulers only: those are measured, and what hollow ones would say to
-each other costs the real ones nothing.  Here are those that tell all to all; ``hollow_sharded`` has those of a
-large fleet, ``hollow_process`` their sockets.
+A hollow scheduler has a table of its running tasks by worker, a real ``Pacing`` that decides what to send and
+when, and an address of its own.  It sends to the real schedulers only: these are measured, and messages among
+hollow ones would cost the real ones nothing.  This module has the hollow schedulers of the all-to-all exchange,
+``hollow_sharded`` those of the sharded exchange, and ``hollow_process`` their sockets.
 """
 
 from __future__ import annotations
@@ -22,187 +22,190 @@
 from ...net.peers import HEARTBEAT_FULL_RATE_PEERS, HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.messages import DELTA, SNAPSHOT, Kind
 from ...occupancy.pacing import HEARTBEAT_MS, Pacing
-from .points import Told
+from .points import ExchangeKind
 
-STEP_MOST_MS = 50.0  # ms; what a later look would have had to do is left out, and shows in ``covered_s``
-_BEAT, _TURN, _FLUSH, _WHOLE = range(4)
+MAX_STEP_MS = 50.0  # time that passed beyond this since the last step is skipped, which ``covered_s`` shows
+_HEARTBEAT, _PERIODIC, _FLUSH, _SNAPSHOT = range(4)
 
 
 class HollowPlan(Struct, frozen=True):
-    """What the fleet is and where it sends."""
+    """The size and load of the hollow fleet, and where it sends."""
 
-    listen: list[Address]  # one for each hollow scheduler
+    listen: list[Address]  # one address for each hollow scheduler
     receivers: list[Address]  # the real schedulers
-    schedulers: int  # all of them
+    schedulers: int  # real and hollow ones
     workers: int
-    starts_per_s: float  # of the hollow ones together
-    tasks_running: int  # at the hollow ones together
-    fill_s: float  # within which every one tells its whole table, all to all
+    starts_per_s: float  # task starts at all hollow schedulers together
+    tasks_running: int  # at all hollow schedulers together
+    fill_s: float  # within this time each hollow scheduler sends its first snapshot (all-to-all only)
     seed: int
-    way: Told = Told.ALL_TO_ALL
+    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
 
 
-class Sent(Struct, frozen=True):
-    """What the fleet has done since its start."""
+class FleetCounters(Struct, frozen=True):
+    """What the hollow fleet has done since its start."""
 
     at_s: float  # on the monotonic clock
-    covered_s: float  # time whose starts and ends were played; less than what went by, if it fell behind
+    covered_s: float  # simulated time; less than the elapsed time if the simulation fell behind
     starts: int
     ends: int
     running: int
     datagrams: int  # to each receiver
     bytes: int  # to each receiver
-    unsent: int  # over all receivers; the kernel took them not
+    unsent: int  # over all receivers; datagrams that the kernel refused
 
 
 def worker_name(index: int) -> str:
-    """The id of a worker on discovery's list."""
+    """The id of a worker in discovery's list."""
     return f"w-{index:05d}"
 
 
 def worker_number(index: int) -> int:
-    """The number by which schedulers tell of a worker, as the core makes it from the id."""
+    """The number of a worker in messages between schedulers, derived from its id as the core does."""
     return zlib.crc32(f"{SOURCE}/{worker_name(index)}".encode()) or 1
 
 
-class Change(NamedTuple):
-    """A task that started (``more``) or ended."""
+class TaskChange(NamedTuple):
+    """A task that started or ended."""
 
-    scheduler: int  # the place of the hollow one
-    worker: int  # its number
-    more: bool
+    scheduler: int  # index of the hollow scheduler
+    worker: int  # number of the worker
+    started: bool
 
 
-def beat_pace(plan: HollowPlan) -> float:
-    """How many times ``HEARTBEAT_INTERVAL_S`` pass between two beats."""
+def heartbeat_slowdown(plan: HollowPlan) -> float:
+    """The heartbeat interval at this number of schedulers, as a multiple of ``HEARTBEAT_INTERVAL_S``."""
     return max(1.0, (plan.schedulers - 1) / HEARTBEAT_FULL_RATE_PEERS)
 
 
 class HollowScheduler:
-    """What one scheduler has out, and what it says of it."""
+    """The running tasks of one hollow scheduler by worker, and its messages about them."""
 
     __slots__ = ("counts", "pacing")
 
     def __init__(self, others: int) -> None:
-        """``others``: how many other schedulers there are."""
+        """``others``: the number of other schedulers."""
         self.counts: dict[int, int] = {}
         self.pacing = Pacing(others)
 
-    def change(self, now: float, worker: int, more: bool) -> list[bytes]:
-        """A task started (``more``) or ended; what is to be said at once."""
-        left = self.counts.get(worker, 0) + (1 if more else -1)
-        if left:
-            self.counts[worker] = left
+    def change(self, now: float, worker: int, started: bool) -> list[bytes]:
+        """Records that a task started or ended; returns the messages to send at once."""
+        count = self.counts.get(worker, 0) + (1 if started else -1)
+        if count:
+            self.counts[worker] = count
         else:
             del self.counts[worker]
-        return self.say(now, DELTA) if self.pacing.changed(now, worker, more) else []
+        return self.encode_messages(now, DELTA) if self.pacing.changed(now, worker, started) else []
 
-    def turn(self, now: float) -> list[bytes]:
-        """What is due once in ``HEARTBEAT_MS``."""
+    def send_periodic(self, now: float) -> list[bytes]:
+        """The messages that are due once in ``HEARTBEAT_MS``."""
         due = self.pacing.next_turn(now)
-        return [] if due is None else self.say(now, due)
+        return [] if due is None else self.encode_messages(now, due)
 
     def flush(self, now: float) -> list[bytes]:
-        """The ends that have waited long enough for company."""
+        """The batched ends of tasks, once the batch is due."""
         due = self.pacing.flush_at and now >= self.pacing.flush_at
-        return self.say(now, DELTA) if due else []
+        return self.encode_messages(now, DELTA) if due else []
 
-    def say(self, now: float, kind: Kind) -> list[bytes]:
-        """Messages with what has changed, or with the whole table."""
+    def encode_messages(self, now: float, kind: Kind) -> list[bytes]:
+        """Messages with the changed counts (``DELTA``) or with the whole table."""
         workers = list(self.pacing.pending) if kind is DELTA else list(self.counts)
         return list(self.pacing.messages(now, kind, [(w, self.counts.get(w, 0)) for w in workers]))
 
 
-class TaskProcess:
-    """The seeded process by which tasks start and end at the hollow schedulers; no I/O, no clock.
+class TaskSimulation:
+    """A seeded simulation of task starts and ends at the hollow schedulers; no I/O, no clock.
 
-    Starts come at the planned rate, each at a scheduler and a worker drawn evenly.  For every start one running
-    task, drawn evenly from all, ends, so that the number running stays.
+    Starts are a Poisson process at the planned rate, each at a uniformly drawn scheduler and worker.  With every
+    start one uniformly drawn running task ends, so that the number of running tasks is constant.
     """
 
     def __init__(self, plan: HollowPlan, now: float) -> None:
-        """``now``: ms, as in all that follows."""
+        """``now``: in milliseconds, as in all methods."""
         self.plan = plan
-        self.draw = random.Random(plan.seed)
-        self.numbers = [worker_number(i) for i in range(plan.workers)]
+        self.random = random.Random(plan.seed)
+        self.worker_numbers = [worker_number(i) for i in range(plan.workers)]
         self.starts = self.ends = 0
         self.covered_ms = 0.0
-        self.at = now
-        self._batches = np.random.default_rng(plan.seed)
-        # Running: scheduler and worker.
-        self.tasks: list[tuple[int, int]] = [self._place() for _ in range(plan.tasks_running)]
-
-    def _place(self) -> tuple[int, int]:
-        return (int(self.draw.random() * len(self.plan.listen)),
-                self.numbers[int(self.draw.random() * len(self.numbers))])
-
-    def changes(self, now: float) -> Iterator[Change]:
-        """Play on until ``now``: each start and each end."""
-        step = min(now - self.at, STEP_MOST_MS)
-        self.at = now
+        self.played_until = now
+        self._batch_random = np.random.default_rng(plan.seed)
+        # Scheduler and worker of each running task.
+        self.tasks: list[tuple[int, int]] = [self._random_task() for _ in range(plan.tasks_running)]
+
+    def _random_task(self) -> tuple[int, int]:
+        return (int(self.random.random() * len(self.plan.listen)),
+                self.worker_numbers[int(self.random.random() * len(self.worker_numbers))])
+
+    def play_tasks(self, now: float) -> Iterator[TaskChange]:
+        """Advances the simulation to ``now``; yields each start and each end."""
+        step = min(now - self.played_until, MAX_STEP_MS)
+        self.played_until = now
         self.covered_ms += step
-        for _ in range(int(self._batches.poisson(self.plan.starts_per_s * step / 1000.0))):
+        for _ in range(int(self._batch_random.poisson(self.plan.starts_per_s * step / 1000.0))):
             yield self._start()
             yield self._end()
 
-    def _start(self) -> Change:
-        scheduler, worker = self._place()
+    def _start(self) -> TaskChange:
+        scheduler, worker = self._random_task()
         self.tasks.append((scheduler, worker))
         self.starts += 1
-        return Change(scheduler, worker, True)
+        return TaskChange(scheduler, worker, True)
 
-    def _end(self) -> Change:
-        at = int(self.draw.random() * len(self.tasks))
-        self.tasks[at], self.tasks[-1] = self.tasks[-1], self.tasks[at]
+    def _end(self) -> TaskChange:
+        index = int(self.random.random() * len(self.tasks))
+        self.tasks[index], self.tasks[-1] = self.tasks[-1], self.tasks[index]
         self.ends += 1
-        return Change(*self.tasks.pop(), False)
+        return TaskChange(*self.tasks.pop(), False)
 
 
-class HollowFleet(TaskProcess):
-    """All hollow schedulers of a fleet that tells all to all."""
+class HollowFleet(TaskSimulation):
+    """All hollow schedulers of a fleet that uses the all-to-all exchange."""
 
     def __init__(self, plan: HollowPlan, now: float) -> None:
-        """``now``: ms, as in all that follows."""
+        """``now``: in milliseconds, as in all methods."""
         super().__init__(plan, now)
         self.schedulers = [HollowScheduler(plan.schedulers - 1) for _ in plan.listen]
-        self.pace = beat_pace(plan)
-        self._due: list[tuple[float, int, int]] = []  # when, what, and at which scheduler
+        self.heartbeat_slowdown = heartbeat_slowdown(plan)
+        self._timers: list[tuple[float, int, int]] = []  # due time, kind, index of the scheduler
         for scheduler, worker in self.tasks:
             counts = self.schedulers[scheduler].counts
             counts[worker] = counts.get(worker, 0) + 1
-        self._schedule(now)
+        self._schedule_first_timers(now)
 
-    def _schedule(self, now: float) -> None:
-        for i, one in enumerate(self.schedulers):
-            one.pacing.turn = self.draw.randrange(1, 1 + one.pacing.snapshot_turns)  # as if it ran for long
+    def _schedule_first_timers(self, now: float) -> None:
+        for i, scheduler in enumerate(self.schedulers):
+            # A random phase of the snapshot cycle, as of schedulers that have run for long.
+            scheduler.pacing.turn = self.random.randrange(1, 1 + scheduler.pacing.snapshot_turns)
             part = i / len(self.schedulers)
-            heappush(self._due, (now + part * self.plan.fill_s * 1000.0, _WHOLE, i))
-            heappush(self._due, (now + self.draw.random() * HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
+            heappush(self._timers, (now + part * self.plan.fill_s * 1000.0, _SNAPSHOT, i))
+            heappush(self._timers, (
+                now + self.random.random() * HEARTBEAT_INTERVAL_S * 1000.0 * self.heartbeat_slowdown,
+                _HEARTBEAT, i))
 
     def advance(self, now: float) -> Iterator[tuple[int, bytes]]:
-        """Play on until ``now``: each datagram that goes to every receiver, and which scheduler says it."""
-        for change in self.changes(now):
-            for data in self._change(now, change):
-                yield change.scheduler, data
-        while self._due and self._due[0][0] <= now:
-            _, what, i = heappop(self._due)
-            for data in self._ring(now, what, i):
-                yield i, data
-
-    def _change(self, now: float, change: Change) -> list[bytes]:
-        one = self.schedulers[change.scheduler]
-        waited = one.pacing.flush_at
-        said = one.change(now, change.worker, change.more)
-        if not change.more and one.pacing.flush_at and one.pacing.flush_at != waited:
-            heappush(self._due, (one.pacing.flush_at, _FLUSH, change.scheduler))
-        return said
-
-    def _ring(self, now: float, what: int, i: int) -> list[bytes]:
-        one = self.schedulers[i]
-        if what == _FLUSH:
-            return one.flush(now)
-        if what == _BEAT:
-            heappush(self._due, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
+        """Advances to ``now``; yields each due datagram, to go to every receiver, with its scheduler's index."""
+        for change in self.play_tasks(now):
+            for datagram in self._apply_change(now, change):
+                yield change.scheduler, datagram
+        while self._timers and self._timers[0][0] <= now:
+            _, timer, i = heappop(self._timers)
+            for datagram in self._fire_timer(now, timer, i):
+                yield i, datagram
+
+    def _apply_change(self, now: float, change: TaskChange) -> list[bytes]:
+        scheduler = self.schedulers[change.scheduler]
+        waited = scheduler.pacing.flush_at
+        messages = scheduler.change(now, change.worker, change.started)
+        if not change.started and scheduler.pacing.flush_at and scheduler.pacing.flush_at != waited:
+            heappush(self._timers, (scheduler.pacing.flush_at, _FLUSH, change.scheduler))
+        return messages
+
+    def _fire_timer(self, now: float, timer: int, i: int) -> list[bytes]:
+        scheduler = self.schedulers[i]
+        if timer == _FLUSH:
+            return scheduler.flush(now)
+        if timer == _HEARTBEAT:
+            heappush(self._timers, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.heartbeat_slowdown, _HEARTBEAT, i))
             return [bytes([HEARTBEAT_TYPE, 1])]
-        heappush(self._due, (now + HEARTBEAT_MS * (0.8 + 0.4 * self.draw.random()), _TURN, i))
-        return one.turn(now) if what == _TURN else one.say(now, SNAPSHOT)
+        heappush(self._timers, (now + HEARTBEAT_MS * (0.8 + 0.4 * self.random.random()), _PERIODIC, i))
+        return scheduler.send_periodic(now) if timer == _PERIODIC else scheduler.encode_messages(now, SNAPSHOT)
--- a/gaphub/lab/scale/hollow_process.py
+++ b/gaphub/lab/scale/hollow_process.py
@@ -1,10 +1,11 @@
-"""Owns the process of the hollow fleet: its sockets, the loop that plays it, and its answers on standard output.
+"""The process of the hollow fleet: its sockets, its event loop, and its answers on standard output.
 
-``python -m gaphub.lab.scale.hollow_process``: the first line on standard input is a ``HollowPlan``, each further
-one asks for the counts so far and is answered by a ``Sent``.  At the end of the input the process ends.
+``python -m gaphub.lab.scale.hollow_process`` reads a ``HollowPlan`` from the first line of standard input.  Each
+further line asks for the counters, and is answered by a line with ``FleetCounters``.  The process exits at the end
+of the input.
 
-What comes to the socket of a hollow scheduler is read only where the fleet is sharded: its datagrams are echoed.
-Else the kernel drops it.
+The sockets of hollow schedulers are read only in the sharded exchange, whose datagrams are echoed.  In the
+all-to-all exchange the kernel drops what arrives.
 """
 
 from __future__ import annotations
@@ -21,48 +22,49 @@
 
 from ...config import Address
 from ...occupancy.exchange import ALL_PEERS
-from .hollow import HollowFleet, HollowPlan, Sent
-from .hollow_sharded import Said, ShardedFleet
-from .points import Told
+from .hollow import FleetCounters, HollowFleet, HollowPlan
+from .hollow_sharded import FleetDatagram, ShardedFleet
+from .points import ExchangeKind
 
-TICK_S = 0.001  # between two looks at what is due
-RECEIVE_BYTES = 4_608  # of a hollow socket's buffer
-DATAGRAM_MOST = 2_048  # bytes that are read of one
-_INPUT = -1  # in place of a scheduler
+POLL_INTERVAL_S = 0.001  # longest wait between two checks for due datagrams
+RECEIVE_BUFFER_BYTES = 4_608  # kernel buffer of each hollow scheduler's socket
+MAX_DATAGRAM_BYTES = 2_048  # read from one datagram
+_STDIN = -1  # selector data for standard input, in place of a scheduler's index
 
 
-class Sender:
-    """The sockets of the fleet, and the loop that plays it."""
+class FleetRunner:
+    """The sockets of the fleet and its event loop."""
 
     def __init__(self, plan: HollowPlan) -> None:
         self.plan = plan
-        self.sockets = [_bound(to) for to in plan.listen]
-        self.fleet = ShardedFleet(plan, _now()) if plan.way is Told.SHARDED else HollowFleet(plan, _now())
-        self.datagrams = self.bytes = self.unsent = 0  # over all receivers
-        self._receivers = {tuple(to): i for i, to in enumerate(plan.receivers)}
+        self.sockets = [_bound_socket(to) for to in plan.listen]
+        self.fleet = (
+            ShardedFleet(plan, _now_ms()) if plan.way is ExchangeKind.SHARDED else HollowFleet(plan, _now_ms()))
+        self.datagrams = self.bytes = self.unsent = 0  # summed over all receivers
+        self._receiver_indices = {tuple(to): i for i, to in enumerate(plan.receivers)}
         self._selector = selectors.DefaultSelector()
-        self._selector.register(0, selectors.EVENT_READ, _INPUT)
-        if plan.way is Told.SHARDED:
+        self._selector.register(0, selectors.EVENT_READ, _STDIN)
+        if plan.way is ExchangeKind.SHARDED:
             for i, sock in enumerate(self.sockets):
                 self._selector.register(sock, selectors.EVENT_READ, i)
 
     def run(self) -> None:
-        """Send what is due until the input ends."""
+        """Sends due datagrams until the input ends."""
         while True:
-            for key, _ in self._selector.select(TICK_S):
-                if key.data != _INPUT:
+            for key, _ in self._selector.select(POLL_INTERVAL_S):
+                if key.data != _STDIN:
                     self._receive(key.data)
-                elif not self._listen():
+                elif not self._answer_stdin():
                     return
-            for scheduler, receiver, data in self._due():
+            for scheduler, receiver, data in self._due_datagrams():
                 self._send(self.sockets[scheduler], receiver, data)
 
-    def _due(self) -> Iterator[Said]:
+    def _due_datagrams(self) -> Iterator[FleetDatagram]:
         if isinstance(self.fleet, ShardedFleet):
-            yield from self.fleet.advance(_now())
+            yield from self.fleet.advance(_now_ms())
             return
-        for scheduler, data in self.fleet.advance(_now()):
-            yield Said(scheduler, ALL_PEERS, data)
+        for scheduler, data in self.fleet.advance(_now_ms()):
+            yield FleetDatagram(scheduler, ALL_PEERS, data)
 
     def _send(self, sock: socket.socket, receiver: int, data: bytes) -> None:
         for to in self.plan.receivers if receiver == ALL_PEERS else [self.plan.receivers[receiver]]:
@@ -70,50 +72,51 @@
             self.bytes += len(data)
             try:
                 sock.sendto(data, to)
-            except OSError:  # the receiver is gone, or the kernel has no room
+            except OSError:  # the receiver has ended, or the kernel's buffers are full
                 self.unsent += 1
 
     def _receive(self, scheduler: int) -> None:
-        """Read all that waits at one socket."""
+        """Reads all datagrams that wait at one scheduler's socket."""
         assert isinstance(self.fleet, ShardedFleet)
         while True:
             try:
-                data, sender = self.sockets[scheduler].recvfrom(DATAGRAM_MOST)
+                data, sender = self.sockets[scheduler].recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # what was sent before found no receiver
+            except OSError:  # an ICMP error: an earlier datagram was sent to a closed port
                 continue
-            receiver = self._receivers.get(sender)
+            receiver = self._receiver_indices.get(sender)
             if receiver is not None:
-                self.fleet.take(_now(), scheduler, receiver, data)
+                self.fleet.on_datagram(_now_ms(), scheduler, receiver, data)
 
-    def _listen(self) -> bool:
-        """Answer each line of the input; False at its end."""
+    def _answer_stdin(self) -> bool:
+        """Answers each line of the input; returns False at its end."""
         read = os.read(0, 4096)
         for _ in range(read.count(b"\n")):
-            os.write(1, msgspec.json.encode(self.count()) + b"\n")
+            os.write(1, msgspec.json.encode(self.counters()) + b"\n")
         return bool(read)
 
-    def count(self) -> Sent:
-        """What has been done so far."""
+    def counters(self) -> FleetCounters:
+        """The counters since the start."""
         fleet, receivers = self.fleet, max(1, len(self.plan.receivers))
-        return Sent(time.monotonic(), fleet.covered_ms / 1000.0, fleet.starts, fleet.ends, len(fleet.tasks),
-                    self.datagrams // receivers, self.bytes // receivers, self.unsent)
+        return FleetCounters(
+            time.monotonic(), fleet.covered_ms / 1000.0, fleet.starts, fleet.ends, len(fleet.tasks),
+            self.datagrams // receivers, self.bytes // receivers, self.unsent)
 
     def close(self) -> None:
-        """Give the sockets back."""
+        """Closes all sockets."""
         self._selector.close()
         for sock in self.sockets:
             sock.close()
 
 
-def _now() -> float:
+def _now_ms() -> float:
     return time.monotonic() * 1000.0
 
 
-def _bound(to: Address) -> socket.socket:
+def _bound_socket(to: Address) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.setblocking(False)
     sock.bind(tuple(to))
     return sock
@@ -130,16 +133,16 @@
 
 
 def main() -> None:
-    """Play the plan on standard input."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the runner's: it ends this process by its input
-    sender = Sender(msgspec.json.decode(_first_line(), type=HollowPlan))
-    gc.freeze()  # a look at the millions of objects of a full fleet takes longer than a step may
+    """Runs the fleet of the plan on standard input."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles Ctrl-C, and closes this process's input
+    runner = FleetRunner(msgspec.json.decode(_first_line(), type=HollowPlan))
+    gc.freeze()  # a collection over the millions of objects of a large fleet would exceed MAX_STEP_MS
     gc.set_threshold(50_000, 50, 50)
     try:
-        os.write(1, msgspec.json.encode(sender.count()) + b"\n")
-        sender.run()
+        os.write(1, msgspec.json.encode(runner.counters()) + b"\n")
+        runner.run()
     finally:
-        sender.close()
+        runner.close()
 
 
 if __name__ == "__main__":
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -1,18 +1,22 @@
-"""Owns the hollow schedulers of a large fleet: what they would say to the real ones in the sharded exchange.
-
-Each has a real ``ShardedExchange``, by whose rules and codec it reports, echoes, chooses which sums it tells and
-keeps its pace among all members.  What is left out, and why the real schedulers cannot tell:
-
-- Hollow schedulers say nothing to each other.  Each takes the others to live, as it would while all goes well;
-  for what it would say as many bytes of the budget are spent as the last datagrams to a real one had.
-- What hollow schedulers would have reported to an aggregator it takes from one table of what all of them have out.
-  Its sums are thus newer than they say, by up to ``AGE_ROUNDS`` rounds of changes: some slots in either direction.
-- The age of sums follows from when reports were built and echoed.  With one datagram a round in each direction, at
-  phases of its own for each pair, that is anywhere up to two rounds; a sum states the oldest over all members,
-  close to two rounds among many (computed: 1.9 among 200).  ``AGE_ROUNDS`` rounds are stated, or the age of what
-  the real ones reported, if that is older.
-- To the hollow schedulers the list of workers rests, and nobody dies: members, owners and ids are the same for
-  all, so that one assignment serves.  While workers leave the real ones' lists, they still hear sums of these.
+"""Hollow schedulers of a large fleet: what they would send the real ones in the sharded exchange.
+
+Each has a real ``ShardedExchange``, whose rules and codec decide what it reports and echoes, which sums it sends,
+and how it spends its byte budget among all members.  The following is simplified, without effect on the real
+schedulers:
+
+- Hollow schedulers do not send to each other.  Each takes the others to be alive, as it would while none fails.
+  In place of each round to a hollow peer it spends as many bytes of its budget as its last round to a real
+  scheduler had.
+- In place of the reports that an aggregator would receive from other hollow schedulers, it reads one shared table
+  of their slots out.  Its sums are thus newer than their stated age, by up to ``REPORT_AGE_ROUNDS`` rounds of
+  changes: some slots in either direction.
+- The age of a sum depends on when reports were built and echoed.  With one datagram a round in each direction, at
+  independent phases for each pair, a report's age is anywhere up to two rounds.  A sum states the oldest report
+  over all members, which is close to two rounds in a large fleet (computed: 1.9 among 200).  Stated are therefore
+  ``REPORT_AGE_ROUNDS`` rounds, or the age of the real schedulers' reports, if that is higher.
+- For the hollow schedulers the list of workers never changes and no member dies.  Members, owners and ids are the
+  same for all, so all share one assignment.  While workers are removed from the list of the real schedulers, these
+  still receive sums of the removed ones.
 """
 
 from __future__ import annotations
@@ -31,81 +35,81 @@
 from ...occupancy.identity import Identities
 from ...occupancy.sharded import ShardedExchange
 from ...occupancy.sums_messages import VERSION, DeadSet
-from .hollow import HollowPlan, TaskProcess, beat_pace, worker_name
+from .hollow import HollowPlan, TaskSimulation, heartbeat_slowdown, worker_name
 
-AGE_ROUNDS = 2.0  # of the reports of hollow schedulers in the sums of another
-EPOCH = 1  # of each hollow scheduler's only life
-_BEAT, _WAKE = range(2)
+REPORT_AGE_ROUNDS = 2.0  # stated age of hollow schedulers' reports in the sums of another hollow scheduler
+EPOCH = 1  # of each hollow scheduler, which never restarts
+_HEARTBEAT, _WAKE = range(2)
 
 
-class Said(NamedTuple):
+class FleetDatagram(NamedTuple):
     """A datagram of a hollow scheduler."""
 
-    scheduler: int  # its place
-    receiver: int  # the place of the real one, or ALL_PEERS
+    scheduler: int  # index of the sender
+    receiver: int  # index of the real scheduler, or ALL_PEERS
     data: bytes
 
 
-class Shared:
-    """What is the same for all hollow schedulers of a fleet."""
+class SharedTable:
+    """State that all hollow schedulers of a fleet share."""
 
     def __init__(self, members: int, names: Mapping[int, str]) -> None:
-        """``names``: of the workers, by their numbers, as the core tells them to its exchange."""
+        """``names``: of the workers, by worker number, as the core passes them to its exchange."""
         self.assignment = Assignment(range(members))
         self.identities = Identities()
-        self.out: dict[int, int] = {}  # slots that all hollow schedulers have out, by wire id
+        self.slots_out: dict[int, int] = {}  # total over all hollow schedulers, by wire id
         for number, name in names.items():
             self.identities.add(number, name)
         for number in names:
             self.assignment.add(self.identities.id_of(number))
 
-    def change(self, number: int, by: int) -> None:
-        """A hollow scheduler has so many more slots out at a worker."""
+    def add_slots(self, number: int, delta: int) -> None:
+        """Adds ``delta`` to the slots that the hollow schedulers have out at a worker."""
         wire_id = self.identities.id_of(number)
-        self.out[wire_id] = self.out.get(wire_id, 0) + by
+        self.slots_out[wire_id] = self.slots_out.get(wire_id, 0) + delta
 
 
 class HollowAggregator(Aggregator):
-    """Sums over what the real schedulers reported and the table of what all hollow ones have out."""
+    """Sums the real schedulers' reports and the shared table of the hollow schedulers' slots out."""
 
-    __slots__ = ("_shared", "_lag_ms")
+    __slots__ = ("_shared", "_report_age_ms")
 
-    def __init__(self, me: int, real: Iterable[int], shared: Shared, lag_ms: float) -> None:
-        """``lag_ms``: how old the reports of other hollow schedulers are."""
+    def __init__(self, me: int, real: Iterable[int], shared: SharedTable, report_age_ms: float) -> None:
+        """``report_age_ms``: the stated age of the reports of other hollow schedulers."""
         super().__init__(me, real)
         self._shared = shared
-        self._lag_ms = lag_ms
+        self._report_age_ms = report_age_ms
         for wire_id in shared.assignment.shards[me]:
             self.list_worker(wire_id)
 
     def set_own(self, wire_id: int, count: int) -> None:
-        """Nothing: the table holds it."""
+        """Does nothing, as the shared table has this scheduler's own slots."""
 
     def others(self, wire_id: int, member: int) -> int:
-        """The slots that all but one real scheduler have out at a worker."""
-        return super().others(wire_id, member) + self._shared.out.get(wire_id, 0)
+        """The slots that all members but one real scheduler have out at a worker."""
+        return super().others(wire_id, member) + self._shared.slots_out.get(wire_id, 0)
 
     def total(self, wire_id: int) -> int:
-        """The slots that all have out at a worker."""
-        return super().total(wire_id) + self._shared.out.get(wire_id, 0)
+        """The slots that all members have out at a worker."""
+        return super().total(wire_id) + self._shared.slots_out.get(wire_id, 0)
 
     def as_of(self, now: float, wire_id: int, need: frozenset[int], all_dead: DeadSet) -> float:
-        """When the sum at a worker was whole, as ``AGE_ROUNDS`` has it."""
-        return min(super().as_of(now, wire_id, need, all_dead), now - self._lag_ms)
+        """The time as of which the sum at a worker is complete, at least ``REPORT_AGE_ROUNDS`` rounds ago."""
+        return min(super().as_of(now, wire_id, need, all_dead), now - self._report_age_ms)
 
 
 class HollowExchange(ShardedExchange):
-    """One hollow scheduler's part in the exchange: it tells the real members alone."""
+    """One hollow scheduler's exchange, which sends to the real members only."""
 
-    def __init__(self, now: float, me: int, members: int, real: Collection[int], shared: Shared) -> None:
+    def __init__(self, now: float, me: int, members: int, real: Collection[int], shared: SharedTable) -> None:
         super().__init__(now, me, range(members), EPOCH)
         self._real = frozenset(real)
         self._assignment = shared.assignment
         self._identities = shared.identities
-        self._aggregator = HollowAggregator(me, real, shared, AGE_ROUNDS * self.plan.round_ms)
+        self._aggregator = HollowAggregator(me, real, shared, REPORT_AGE_ROUNDS * self.plan.round_ms)
         self.plan = self._plan(0.0, 0.0)
-        self._told_bytes = 0  # to the real one told last
-        self._told_reports = 0
+        self._last_real_bytes = 0  # in the last round to a real scheduler
+        self._last_real_reports = 0
         for member, peer in self._peers.items():
             if member not in self._real:
                 peer.heard_at = inf
@@ -115,74 +119,74 @@
 
     def _tell(self, now: float, member: int) -> list[Outgoing]:
         if member not in self._real:
-            self._bucket.spend(self._told_bytes)
-            self._reported += self._told_reports
+            self._bucket.spend(self._last_real_bytes)
+            self._reported += self._last_real_reports
             return []
         reported = self._reported
         outgoing = super()._tell(now, member)
-        self._told_bytes = sum(len(data) for _, data in outgoing)
-        self._told_reports = self._reported - reported
+        self._last_real_bytes = sum(len(data) for _, data in outgoing)
+        self._last_real_reports = self._reported - reported
         return outgoing
 
     def _silent(self, member: int) -> None:
-        """Nothing: a run in which a real scheduler falls silent has failed."""
+        """Does nothing: a run in which a real scheduler falls silent has failed."""
 
 
-class ShardedFleet(TaskProcess):
-    """All hollow schedulers of a large fleet; the real ones come first among the members."""
+class ShardedFleet(TaskSimulation):
+    """All hollow schedulers of a large fleet; the real schedulers have the lowest member numbers."""
 
     def __init__(self, plan: HollowPlan, now: float) -> None:
-        """``now``: ms, as in all that follows."""
+        """``now``: in milliseconds, as in all methods."""
         super().__init__(plan, now)
         real = range(len(plan.receivers))
         names = [str(worker_identity(SOURCE, worker_name(i))) for i in range(plan.workers)]
-        self.shared = Shared(plan.schedulers, dict(zip(self.numbers, names, strict=True)))
+        self.shared = SharedTable(plan.schedulers, dict(zip(self.worker_numbers, names, strict=True)))
         self.exchanges = [HollowExchange(now, len(real) + i, plan.schedulers, real, self.shared)
                           for i in range(len(plan.listen))]
         self.counts: list[dict[int, int]] = [{} for _ in plan.listen]
-        self._due: list[tuple[float, int, int]] = []  # when, what, and at which scheduler
-        self._pace_ms = HEARTBEAT_INTERVAL_S * 1000.0 * beat_pace(plan)
+        self._timers: list[tuple[float, int, int]] = []  # due time, kind, index of the scheduler
+        self._heartbeat_ms = HEARTBEAT_INTERVAL_S * 1000.0 * heartbeat_slowdown(plan)
         for scheduler, worker in self.tasks:
-            self._count(scheduler, worker, 1)
+            self._add_slots(scheduler, worker, 1)
         for scheduler, counts in enumerate(self.counts):
             for worker, count in counts.items():
                 self.exchanges[scheduler].changed(now, worker, count, True)
         for i, exchange in enumerate(self.exchanges):
-            heappush(self._due, (now + self.draw.random() * exchange.plan.round_ms, _WAKE, i))
-            heappush(self._due, (now + self.draw.random() * self._pace_ms, _BEAT, i))
+            heappush(self._timers, (now + self.random.random() * exchange.plan.round_ms, _WAKE, i))
+            heappush(self._timers, (now + self.random.random() * self._heartbeat_ms, _HEARTBEAT, i))
 
-    def _count(self, scheduler: int, worker: int, by: int) -> int:
-        """The slots out of one at a worker, after a change."""
+    def _add_slots(self, scheduler: int, worker: int, delta: int) -> int:
+        """Changes one hollow scheduler's slots out at a worker; returns the new count."""
         counts = self.counts[scheduler]
-        left = counts.get(worker, 0) + by
-        if left:
-            counts[worker] = left
+        slots_out = counts.get(worker, 0) + delta
+        if slots_out:
+            counts[worker] = slots_out
         else:
             del counts[worker]
-        self.shared.change(worker, by)
-        return left
-
-    def advance(self, now: float) -> Iterator[Said]:
-        """Play on until ``now``: each datagram that is due."""
-        for scheduler, worker, more in self.changes(now):
-            left = self._count(scheduler, worker, 1 if more else -1)
-            self.exchanges[scheduler].changed(now, worker, left, more)
-        while self._due and self._due[0][0] <= now:
-            due, what, i = heappop(self._due)
-            if what == _BEAT:
-                heappush(self._due, (now + self._pace_ms, _BEAT, i))
-                yield Said(i, ALL_PEERS, bytes([HEARTBEAT_TYPE, 1]))
+        self.shared.add_slots(worker, delta)
+        return slots_out
+
+    def advance(self, now: float) -> Iterator[FleetDatagram]:
+        """Advances to ``now``; yields each due datagram."""
+        for scheduler, worker, started in self.play_tasks(now):
+            slots_out = self._add_slots(scheduler, worker, 1 if started else -1)
+            self.exchanges[scheduler].changed(now, worker, slots_out, started)
+        while self._timers and self._timers[0][0] <= now:
+            due, timer, i = heappop(self._timers)
+            if timer == _HEARTBEAT:
+                heappush(self._timers, (now + self._heartbeat_ms, _HEARTBEAT, i))
+                yield FleetDatagram(i, ALL_PEERS, bytes([HEARTBEAT_TYPE, 1]))
                 continue
             for receiver, data in self._wake(now, due, i):
-                yield Said(i, receiver, data)
+                yield FleetDatagram(i, receiver, data)
 
     def _wake(self, now: float, due: float, i: int) -> Sequence[Outgoing]:
         exchange = self.exchanges[i]
-        outgoing = exchange.on_wakeup(now, due, self.draw.random)
-        heappush(self._due, (exchange.take_wakeup() or now, _WAKE, i))
+        outgoing = exchange.on_wakeup(now, due, self.random.random)
+        heappush(self._timers, (exchange.take_wakeup() or now, _WAKE, i))
         return outgoing
 
-    def take(self, now: float, scheduler: int, sender: int, data: bytes) -> None:
-        """A real scheduler tells a hollow one; what is not of the sharded format means nothing to it."""
+    def on_datagram(self, now: float, scheduler: int, sender: int, data: bytes) -> None:
+        """Handles a datagram from a real scheduler; ignores what is not of the sharded format."""
         if data[:1] == bytes((VERSION,)):
-            self.exchanges[scheduler].on_message(now, sender, data, {}, self.draw.random)
+            self.exchanges[scheduler].on_message(now, sender, data, {}, self.random.random)
--- a/gaphub/lab/scale/in_force.py
+++ b/gaphub/lab/scale/in_force.py
@@ -1,13 +1,14 @@
-"""Owns how long changes take to be in force at the real schedulers, seen from outside.
+"""Measures how long changes take to be in force at the real schedulers, as seen from outside.
 
-The operators' address of each scheduler is polled, so this is a phase of its own: what the polls cost is in no
-window of CPU time.  A change of the list takes one worker out, zone by zone, and is in force where the number of
-targets has fallen by as many as were taken out before and with it.  A change of the settings is a new file and
-SIGHUP, and is in force where as many reloads have succeeded.  Either come no more slowly than ``LEAST_PER_S``, and
-there are ``CHANGES_LEAST`` of them at the least.
+The operators' address of each scheduler is polled.  This is a phase of its own, so that no measured window
+includes the CPU time of the polls.  A change of the list removes one worker, zone by zone; it is in force at a
+scheduler once the number of targets has fallen by the number of workers removed so far.  A change of the settings
+is a new file and SIGHUP; it is in force once as many reloads have succeeded.  Changes of both kinds are made at a
+rate of at least ``MIN_CHANGES_PER_S``, and there are at least ``MIN_CHANGES`` of them.
 
-Times are up to the first poll that sees the change, so they are too long by up to a poll; a pair of scheduler and
-change that is not in force ``LIMIT_S`` after the last change is missed, and counts with that time.
+A time ends at the first poll that sees the change, so it is too long by up to one poll interval.  A pair of
+scheduler and change that is not in force ``CHANGE_TIMEOUT_S`` after the last change is counted as missed, with
+that time.
 """
 
 from __future__ import annotations
@@ -20,102 +21,108 @@
 from hdrh.histogram import HdrHistogram
 
 from .discovery import Registry
-from .points import InForce
+from .points import ChangeLatency
 from .processes import ProcessError, RealScheduler
-from .scenario import SETTINGS_MOST_PER_S
+from .scenario import MAX_SETTINGS_CHANGES_PER_S
 
-POLL_S = 0.02
-LIMIT_S = 8.0  # above the 6 s that are promised
-CHANGES_LEAST = 4
-LEAST_PER_S = 1.0  # a slower pace would make no change within the phase
-_MOST_US = 60_000_000
+POLL_INTERVAL_S = 0.02
+CHANGE_TIMEOUT_S = 8.0  # above the budget of 6 s
+MIN_CHANGES = 4
+MIN_CHANGES_PER_S = 1.0  # a slower pace would make no change within the phase
+_HISTOGRAM_MAX_US = 60_000_000
 
 
-class Watch:
-    """When each change was made, and when each scheduler was first seen to have it in force."""
+class ChangeTracker:
+    """When each change was made, and when it was first seen in force at each scheduler."""
 
     def __init__(self, schedulers: int) -> None:
-        self.made: list[float] = []
-        self.seen: list[list[float]] = [[] for _ in range(schedulers)]
+        self.made_at: list[float] = []
+        self.applied_at: list[list[float]] = [[] for _ in range(schedulers)]
 
-    def saw(self, scheduler: int, in_force: int, now: float) -> None:
-        """A scheduler has so many of the changes in force now."""
-        seen = self.seen[scheduler]
-        seen += [now] * (min(in_force, len(self.made)) - len(seen))
+    def record_applied(self, scheduler: int, count_applied: int, now: float) -> None:
+        """Records that a scheduler now has this many of the changes in force."""
+        applied_at = self.applied_at[scheduler]
+        applied_at += [now] * (min(count_applied, len(self.made_at)) - len(applied_at))
 
-    def complete(self, scheduler: int) -> bool:
-        """Whether a scheduler has all of the changes that were made."""
-        return len(self.seen[scheduler]) == len(self.made)
+    def is_complete(self, scheduler: int) -> bool:
+        """Whether a scheduler has all changes made so far in force."""
+        return len(self.applied_at[scheduler]) == len(self.made_at)
 
-    def result(self, kind: str) -> InForce:
-        """The quantiles; a missed pair counts with ``LIMIT_S``."""
-        histogram = HdrHistogram(1, _MOST_US, 3)
+    def result(self, kind: str) -> ChangeLatency:
+        """The quantiles; a missed pair counts with ``CHANGE_TIMEOUT_S``."""
+        histogram = HdrHistogram(1, _HISTOGRAM_MAX_US, 3)
         missed = 0
-        for seen in self.seen:
-            for made, at in zip(self.made, seen, strict=False):
-                histogram.record_value(max(1, round((at - made) * 1e6)))
-            missed += len(self.made) - len(seen)
+        for applied_at in self.applied_at:
+            for made_at, at in zip(self.made_at, applied_at, strict=False):
+                histogram.record_value(max(1, round((at - made_at) * 1e6)))
+            missed += len(self.made_at) - len(applied_at)
         for _ in range(missed):
-            histogram.record_value(round(LIMIT_S * 1e6))
+            histogram.record_value(round(CHANGE_TIMEOUT_S * 1e6))
         p50, p99 = (histogram.get_value_at_percentile(p) / 1000.0 for p in (50.0, 99.0))
-        return InForce(histogram.get_total_count(), p50, p99, histogram.get_max_value() / 1000.0, missed, kind)
-
-
-async def _poll(watch: Watch, index: int, one: RealScheduler, in_force: Callable[[dict[str, int]], int],
-                made_all: asyncio.Event) -> None:
-    limit = None
-    while not (made_all.is_set() and watch.complete(index)):
-        with suppress(ProcessError):  # it was too busy to answer: the next poll sees it later
-            watch.saw(index, in_force(await one.stats()), time.monotonic())
-        if made_all.is_set():
-            limit = limit or time.monotonic() + LIMIT_S
-            if time.monotonic() > limit:
+        return ChangeLatency(
+            histogram.get_total_count(), p50, p99, histogram.get_max_value() / 1000.0, missed, kind)
+
+
+async def _poll_scheduler(tracker: ChangeTracker, index: int, scheduler: RealScheduler,
+                          count_applied: Callable[[dict[str, int]], int], all_made: asyncio.Event) -> None:
+    deadline = None
+    while not (all_made.is_set() and tracker.is_complete(index)):
+        with suppress(ProcessError):  # too busy to answer; a later poll sees the change
+            tracker.record_applied(index, count_applied(await scheduler.stats()), time.monotonic())
+        if all_made.is_set():
+            deadline = deadline or time.monotonic() + CHANGE_TIMEOUT_S
+            if time.monotonic() > deadline:
                 return
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _make(watch: Watch, count: int, per_s: float, change: Callable[[int], None],
-                made_all: asyncio.Event) -> None:
-    began = time.monotonic()
+async def _make_changes(tracker: ChangeTracker, count: int, changes_per_s: float, change: Callable[[int], None],
+                        all_made: asyncio.Event) -> None:
+    started_at = time.monotonic()
     for serial in range(count):
-        await asyncio.sleep(max(0.0, began + serial / per_s - time.monotonic()))
-        watch.made.append(time.monotonic())
+        await asyncio.sleep(max(0.0, started_at + serial / changes_per_s - time.monotonic()))
+        tracker.made_at.append(time.monotonic())
         change(serial)
-    made_all.set()
+    all_made.set()
 
 
-async def _watch(schedulers: list[RealScheduler], count: int, per_s: float, change: Callable[[int], None],
-                 in_force: Callable[[int, dict[str, int]], int]) -> Watch:
-    watch = Watch(len(schedulers))
-    made_all = asyncio.Event()
+async def _track_changes(schedulers: list[RealScheduler], count: int, changes_per_s: float,
+                         change: Callable[[int], None],
+                         count_applied: Callable[[int, dict[str, int]], int]) -> ChangeTracker:
+    tracker = ChangeTracker(len(schedulers))
+    all_made = asyncio.Event()
     async with asyncio.TaskGroup() as group:
-        for i, one in enumerate(schedulers):
-            group.create_task(_poll(watch, i, one, lambda told, i=i: in_force(i, told),  # type: ignore[misc]
-                                    made_all))
-        group.create_task(_make(watch, count, per_s, change, made_all))
-    return watch
-
-
-async def list_changes(schedulers: list[RealScheduler], registry: Registry, per_s: float, phase_s: float
-                       ) -> InForce:
-    """Take workers out of the list at a rate, at the most one zone; all of them must be listed before."""
-    per_s = max(LEAST_PER_S, per_s)
-    order = registry.by_zone()[:max(1, registry.workers // registry.zones)]
-    count = min(len(order), max(CHANGES_LEAST, round(per_s * phase_s)))
-    watch = await _watch(schedulers, count, per_s, lambda serial: registry.set(order[serial], False),
-                         lambda _, told: registry.workers - told["targets"])
-    return watch.result("list")
-
-
-async def settings_changes(schedulers: list[RealScheduler], per_s: float, phase_s: float) -> InForce:
-    """Change the settings of every scheduler at a rate."""
-    per_s = min(SETTINGS_MOST_PER_S, max(LEAST_PER_S, per_s))
-    before = [(await one.stats())["reload_success"] for one in schedulers]
+        for i, scheduler in enumerate(schedulers):
+            group.create_task(_poll_scheduler(
+                tracker, i, scheduler, lambda stats, i=i: count_applied(i, stats),  # type: ignore[misc]
+                all_made))
+        group.create_task(_make_changes(tracker, count, changes_per_s, change, all_made))
+    return tracker
+
+
+async def measure_list_changes(schedulers: list[RealScheduler], registry: Registry, changes_per_s: float,
+                               phase_s: float) -> ChangeLatency:
+    """Removes workers from the list at a rate, at most one zone.  All workers must be listed before."""
+    changes_per_s = max(MIN_CHANGES_PER_S, changes_per_s)
+    workers = registry.workers_by_zone()[:max(1, registry.workers // registry.zones)]
+    count = min(len(workers), max(MIN_CHANGES, round(changes_per_s * phase_s)))
+    tracker = await _track_changes(schedulers, count, changes_per_s,
+                                   lambda serial: registry.set_listed(workers[serial], False),
+                                   lambda _, stats: registry.workers - stats["targets"])
+    return tracker.result("list")
+
+
+async def measure_settings_changes(schedulers: list[RealScheduler], changes_per_s: float, phase_s: float
+                                   ) -> ChangeLatency:
+    """Changes the settings of every scheduler at a rate."""
+    changes_per_s = min(MAX_SETTINGS_CHANGES_PER_S, max(MIN_CHANGES_PER_S, changes_per_s))
+    reloads_before = [(await scheduler.stats())["reload_success"] for scheduler in schedulers]
 
     def change(serial: int) -> None:
-        for one in schedulers:
-            one.change_settings(serial)
+        for scheduler in schedulers:
+            scheduler.change_settings(serial)
 
-    watch = await _watch(schedulers, max(CHANGES_LEAST, round(per_s * phase_s)), per_s, change,
-                         lambda i, told: told["reload_success"] - before[i])
-    return watch.result("settings")
+    tracker = await _track_changes(
+        schedulers, max(MIN_CHANGES, round(changes_per_s * phase_s)), changes_per_s, change,
+        lambda i, stats: stats["reload_success"] - reloads_before[i])
+    return tracker.result("settings")
--- a/gaphub/lab/scale/plots.py
+++ b/gaphub/lab/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a series as SVG: points, line, interval and budget; the same series gives the same bytes."""
+"""SVG plots of a series: points, line, confidence interval and budget.  The same series gives the same bytes."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from .fit import CONFIDENCE
 from .series import Series
 
-SETTINGS = {"svg.hashsalt": "gaphub", "svg.fonttype": "none", "font.size": 9.0}
-METADATA = {"Date": None, "Creator": None}  # else the file would change with the day and with the library
+RC_SETTINGS = {"svg.hashsalt": "gaphub", "svg.fonttype": "none", "font.size": 9.0}
+METADATA = {"Date": None, "Creator": None}  # left out, so that the file does not depend on the day or the library
 PANEL_INCHES = (4.2, 3.4)
 LEGEND_COLUMNS = 3
-STEPS = 60  # of a drawn line
-FAR = 1.5  # a target so many times beyond the greatest load gets a panel of its own
-MARGIN = 1.03  # of the greatest load shown
-OFF_LINE = "#c0392b"
-IN_LINE = "#1f4e79"
+LINE_STEPS = 60  # points of a drawn line
+FAR_TARGET_RATIO = 1.5  # a target beyond this multiple of the greatest load has a panel of its own
+MARGIN = 1.03  # end of the x axis, relative to the greatest load shown
+OUTLIER_COLOUR = "#c0392b"
+LINE_COLOUR = "#1f4e79"
 
 
 def draw(series: Series, target: Target, path: Path) -> None:
-    """Write the plot of a series: over the measured loads, and up to the target if that lies far beyond."""
+    """Writes the plot of a series: over the measured loads, and up to the target if that lies far beyond them."""
     at_target = series.sweep.swept.of_target(target)
-    greatest = max(each.x for each in series.observations)
-    ends = [greatest, at_target] if at_target > FAR * greatest else [max(greatest, at_target)]
+    max_load = max(each.x for each in series.observations)
+    ends = [max_load, at_target] if at_target > FAR_TARGET_RATIO * max_load else [max(max_load, at_target)]
     if series.line is None:
-        ends = [greatest]
-    with matplotlib.rc_context(SETTINGS):
+        ends = [max_load]
+    with matplotlib.rc_context(RC_SETTINGS):
         figure = Figure(figsize=(PANEL_INCHES[0] * len(ends), PANEL_INCHES[1]), layout="constrained")
         panels = figure.subplots(1, len(ends), squeeze=False)[0]
         for panel, end in zip(panels, ends, strict=True):
@@ -42,7 +42,7 @@
 
 
 def _legend(figure: Any, panels: Any) -> None:
-    """One legend below all panels; the target may be drawn in the last one only."""
+    """Draws one legend below all panels, as the last panel may be the only one that shows the target."""
     handles: dict[str, Any] = {}
     for panel in panels:
         for handle, label in zip(*panel.get_legend_handles_labels(), strict=True):
@@ -52,7 +52,7 @@
 
 
 def _panel(panel: Any, series: Series, end: float, at_target: float) -> None:
-    """The points and the line from no load to ``end``."""
+    """Draws the points, the line from load 0 to ``end``, the budget, and the target if it is in this range."""
     _points(panel, series)
     if series.line is not None:
         _line(panel, series, end)
@@ -68,26 +68,28 @@
 
 
 def _points(panel: Any, series: Series) -> None:
-    """Each point at its mean, with the range of its processes; those off the line in another colour and form."""
+    """Draws each point at its mean, with the range over its processes; outliers in another colour and marker."""
     count = len(series.observations)
-    off_line = (False,) * count if series.line is None else series.line.outliers
-    for off, colour, form, label in ((False, IN_LINE, "o", "points"), (True, OFF_LINE, "X", "off the line")):
-        shown = [each for each, outlier in zip(series.observations, off_line, strict=True) if outlier is off]
+    outliers = (False,) * count if series.line is None else series.line.outliers
+    for is_outlier, colour, marker, label in ((False, LINE_COLOUR, "o", "points"),
+                                              (True, OUTLIER_COLOUR, "X", "off the line")):
+        shown = [each for each, outlier in zip(series.observations, outliers, strict=True)
+                 if outlier is is_outlier]
         if not shown:
             continue
         means = [each.mean for each in shown]
         below = [max(each.mean - min(each.values), 0.0) for each in shown]
         above = [max(max(each.values) - each.mean, 0.0) for each in shown]
-        panel.errorbar([each.x for each in shown], means, yerr=[below, above], color=colour, fmt=form,
+        panel.errorbar([each.x for each in shown], means, yerr=[below, above], color=colour, fmt=marker,
                        markersize=4, elinewidth=0.8, label=label)
 
 
 def _line(panel: Any, series: Series, end: float) -> None:
-    """The fitted line with the interval of its mean."""
+    """Draws the fitted line with the confidence interval of the mean."""
     assert series.line is not None
-    xs = [float(x) for x in np.linspace(0.0, end, STEPS)]
+    xs = [float(x) for x in np.linspace(0.0, end, LINE_STEPS)]
     estimates = [series.line.mean_at(x) for x in xs]
     bend = " (bent)" if series.line.curved else ""
-    panel.plot(xs, [each.value for each in estimates], color=IN_LINE, linewidth=1, label=f"line{bend}")
-    panel.fill_between(xs, [each.low for each in estimates], [each.high for each in estimates], color=IN_LINE,
+    panel.plot(xs, [each.value for each in estimates], color=LINE_COLOUR, linewidth=1, label=f"line{bend}")
+    panel.fill_between(xs, [each.low for each in estimates], [each.high for each in estimates], color=LINE_COLOUR,
                        alpha=0.15, linewidth=0, label=f"{CONFIDENCE:.0%} interval")
--- a/gaphub/lab/scale/points.py
+++ b/gaphub/lab/scale/points.py
@@ -1,6 +1,6 @@
-"""Owns the points file of the scale run: one measured point a line, as JSON.
+"""The points file of scale runs: JSON lines, one measured point a line.
 
-The run appends points; fits, reports and plots read them.  A point that could not be measured stays in the file,
+Runs append points; fits, reports and plots read them.  A point that could not be measured is in the file too,
 with the reason in ``failed``.
 """
 
@@ -13,22 +13,22 @@
 import msgspec
 from msgspec import Struct
 
-VERSION = 1  # of the form of a point
+FORMAT_VERSION = 1
 
 
 class PointsError(ValueError):
-    """A points file that cannot be read; the text names the file and the line."""
+    """A points file cannot be read; the message names the file and the line."""
 
 
-class Told(Enum):
-    """How the schedulers of a point tell each other their occupancy."""
+class ExchangeKind(Enum):
+    """The occupancy exchange that the schedulers of a point use."""
 
     ALL_TO_ALL = "all to all"
     SHARDED = "sharded"
 
 
 class Machine(Struct, frozen=True):
-    """What the point was measured on."""
+    """The machine on which a point was measured."""
 
     cores: int
     memory_mb: int
@@ -36,19 +36,19 @@
 
 
 class Load(Struct, frozen=True):
-    """The size of the fleet and the pace of what happens in it."""
+    """The size of the fleet and the rates of its events."""
 
     workers: int
-    schedulers: int  # all of them, real and hollow
-    starts_per_s: float  # of tasks, in the whole fleet; as many end
+    schedulers: int  # real and hollow ones
+    starts_per_s: float  # task starts in the whole fleet, with as many ends
     tasks_running: int
-    changes_per_s: float  # of the list of workers
+    changes_per_s: float  # of the list of workers, or of the settings where these are swept
     teams: int
     zones: int
 
 
-class Measured(Struct, frozen=True):
-    """What one real scheduler process spent in the measured window."""
+class SchedulerUsage(Struct, frozen=True):
+    """What one real scheduler process used in the measured window."""
 
     name: str
     cpu_s: float  # user and system time
@@ -57,29 +57,29 @@
     peer_out_bytes: int
     peer_in_datagrams: int
     peer_out_datagrams: int
-    list_in_bytes: int  # discovery's answers, heads included
-    list_out_bytes: int  # the calls that these answered, heads included
+    list_in_bytes: int  # answers of discovery, with heads
+    list_out_bytes: int  # the requests for these answers, with heads
     requests: int  # served in the window
     loop_lag_ms: float | None = None
-    age_p50_ms: float | None = None  # of the sums believed, over the workers, at the end of the window
+    age_p50_ms: float | None = None  # age of the sums in use, over the workers, after the window
     age_p99_ms: float | None = None
 
 
-class InForce(Struct, frozen=True):
-    """How long changes took to be in force, over all pairs of real scheduler and change; times in ms."""
+class ChangeLatency(Struct, frozen=True):
+    """How long changes took to be in force, over all pairs of real scheduler and change, in milliseconds."""
 
     count: int
     p50: float
     p99: float
     worst: float
-    missed: int  # pairs that were not in force within the time that was waited
+    missed: int  # pairs for which the change was not in force within the time-out
     kind: str  # "list" or "settings"
 
 
 class Point(Struct, frozen=True, kw_only=True):
     """One measured point."""
 
-    version: int = VERSION
+    version: int = FORMAT_VERSION
     commit: str
     dirty: bool
     seed: int
@@ -88,31 +88,32 @@
     sweep: str  # the name of the swept key
     repeat: int
     load: Load
-    seconds: float  # of the measured window
-    schedulers: list[Measured]
-    baseline: list[Measured]  # the same processes with peers silent and no changes of the list, to subtract
-    in_force_ms: InForce | None = None
-    way: Told = Told.ALL_TO_ALL
-    baseline_seconds: float = 0.0  # of the baseline's window; 0: as ``seconds``
-    failed: str = ""  # why the point could not be measured, or does not show the load that was planned
+    seconds: float  # length of the measured window
+    schedulers: list[SchedulerUsage]
+    baseline: list[SchedulerUsage]  # to subtract: the same schedulers without peer messages and list changes
+    in_force_ms: ChangeLatency | None = None
+    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
+    baseline_seconds: float = 0.0  # length of the baseline's window; 0: the same as ``seconds``
+    failed: str = ""  # why the point could not be measured, or does not represent the planned load
 
 
 def append_point(path: Path, point: Point) -> None:
-    """Append one line; the file is made if it is not there."""
+    """Appends a point to a file, which is created if it does not exist."""
     with open(path, "ab") as file:
         file.write(msgspec.json.encode(point) + b"\n")
 
 
 def read_points(path: Path) -> Iterator[Point]:
-    """Each point of a file, in the order of the file."""
+    """Reads the points of a file, in its order."""
     with open(path, "rb") as file:
-        for number, line in enumerate(file, 1):
+        for line_number, line in enumerate(file, 1):
             if not line.strip():
                 continue
             try:
                 point = msgspec.json.decode(line, type=Point)
             except msgspec.DecodeError as error:
-                raise PointsError(f"{path}:{number}: {error}") from None
-            if point.version != VERSION:
-                raise PointsError(f"{path}:{number}: version {point.version}, this program reads {VERSION}")
+                raise PointsError(f"{path}:{line_number}: {error}") from None
+            if point.version != FORMAT_VERSION:
+                raise PointsError(
+                    f"{path}:{line_number}: version {point.version}, this program reads {FORMAT_VERSION}")
             yield point
--- a/gaphub/lab/scale/runner.py
+++ b/gaphub/lab/scale/runner.py
@@ -1,9 +1,9 @@
-"""Owns one scale run: for each point of a scenario the processes, the windows, and the line in the points file.
+"""Runs a scenario: for each point it starts the processes, measures the windows and appends to the points file.
 
-A point is measured in two starts of the same real schedulers under the same requests.  In the first, the
-baseline, peer messages are switched off and the list rests, so that what the schedulers spend on telling others
-is not subtracted with it.  In the second all control traffic flows; where changes are swept, a further phase
-watches them come into force.  Everything that is started is ended by its handle, however a point ends.
+A point is measured in two starts of the same real schedulers under the same requests.  In the first, the baseline,
+peer messages are off and the list does not change, so that subtracting the baseline does not remove any cost of
+control traffic.  In the second all control traffic flows; where changes are swept, a further phase measures how
+long they take to be in force.  However a point ends, everything that was started is ended through its handle.
 """
 
 from __future__ import annotations
@@ -29,49 +29,49 @@
 from ..site import WORK_MS
 from ..world import Workers
 from .discovery import CountingAgent, Registry
-from .hollow import HollowPlan, Sent
-from .in_force import list_changes, settings_changes
-from .points import InForce, Load, Machine, Measured, Point, Told, append_point
-from .processes import TREE, HollowProcess, ProcessError, RealScheduler, hollow_address
-from .sampling import Sample, measured
+from .hollow import FleetCounters, HollowPlan
+from .in_force import measure_list_changes, measure_settings_changes
+from .points import ChangeLatency, ExchangeKind, Load, Machine, Point, SchedulerUsage, append_point
+from .processes import SOURCE_TREE, HollowProcess, ProcessError, RealScheduler, hollow_address
+from .sampling import Sample, usage_between
 from .scenario import (
     CHANGES_SWEEP,
     SETTINGS_SWEEP,
-    Planned,
+    PlannedPoint,
     Scenario,
     ScenarioError,
     descriptors_needed,
+    exchange_kind_at,
     memory_needed,
-    plan,
-    told,
+    plan_points,
 )
 
-ANSWERING = 16  # workers that answer; every list entry names one of them
-BEHIND_MOST = 0.05  # share of a window that the hollow fleet may leave out
-LOST_MOST = 0.05  # share of the hollow fleet's datagrams that may not arrive
-POINT_MOST_S = 90.0  # beside its windows: a point that takes longer has failed
-SILENT_WARM_UP_MOST_S = 3.0  # of the baseline: no sums have to gather in it
-MEMORY_PART = 0.5  # of the machine
-ENDING = (signal.SIGTERM, signal.SIGINT)
+RESPONDING_WORKERS = 16  # simulated workers that listen; every list entry has the address of one of them
+MAX_UNPLAYED_SHARE = 0.05  # of a window, in simulated time that the hollow fleet may skip
+MAX_LOST_SHARE = 0.05  # of the hollow fleet's datagrams
+POINT_OVERHEAD_TIMEOUT_S = 90.0  # a point that takes longer than this beside its windows has failed
+MAX_BASELINE_WARM_UP_S = 3.0  # shorter than others, as without peer messages there are no sums to collect
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
-Tell = Callable[[Planned, Point | None], None]  # hears of each point before and after it is measured
+ProgressCallback = Callable[[PlannedPoint, Point | None], None]  # called before (None) and after each point
 
 
 @dataclass
 class Window:
-    """One measured window: each real scheduler's share, and what the hollow fleet did meanwhile."""
+    """One measured window: what each real scheduler used, and what the hollow fleet did meanwhile."""
 
     seconds: float
-    schedulers: list[Measured]
-    sent: tuple[Sent, Sent] | None
-    dropped: int  # datagrams that came in and found their peer's mailbox full
+    schedulers: list[SchedulerUsage]
+    sent: tuple[FleetCounters, FleetCounters] | None
+    dropped: int  # datagrams that the real schedulers dropped because the sender's mailbox was full
 
 
 def check_machine(scenario: Scenario) -> None:
-    """Refuse a scenario that this machine cannot hold; ScenarioError says what is short."""
-    memory = int(psutil.virtual_memory().total * MEMORY_PART)
+    """Raises ScenarioError if the machine has too little memory or too few descriptors for the scenario."""
+    memory = int(psutil.virtual_memory().total * MAX_MEMORY_SHARE)
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    for planned in plan(scenario):
+    for planned in plan_points(scenario):
         needed = memory_needed(scenario, planned.load)
         if needed > memory:
             raise ScenarioError(f"sweeps.{planned.sweep}: needs {needed / 1e9:.1f} GB, and half of this machine's "
@@ -82,14 +82,15 @@
 
 
 def machine() -> Machine:
-    """The machine that measures."""
+    """Describes the machine of this run."""
     return Machine(os.cpu_count() or 1, psutil.virtual_memory().total // 2**20, platform.python_version())
 
 
-def checkout() -> tuple[str, bool]:
-    """The commit of the checkout that runs, and whether files differ from it; ``unknown`` outside of one."""
-    def git(*words: str) -> str:
-        return subprocess.run(["git", *words], cwd=TREE, check=True, capture_output=True, text=True).stdout.strip()
+def git_commit() -> tuple[str, bool]:
+    """The commit of the running code, and whether tracked files differ from it; ``unknown`` outside a checkout."""
+    def git(*arguments: str) -> str:
+        return subprocess.run(
+            ["git", *arguments], cwd=SOURCE_TREE, check=True, capture_output=True, text=True).stdout.strip()
 
     try:
         return git("rev-parse", "HEAD"), bool(git("status", "--porcelain", "--untracked-files=no"))
@@ -97,118 +98,120 @@
         return "unknown", True
 
 
-async def run(name: str, scenario: Scenario, out: Path | None, tell: Tell = lambda planned, point: None
-              ) -> list[Point]:
-    """Measure every point of a scenario; each is appended to ``out`` at once.
+async def run(name: str, scenario: Scenario, out: Path | None,
+              on_progress: ProgressCallback = lambda planned, point: None) -> list[Point]:
+    """Measures every point of a scenario; each is appended to ``out`` as soon as it is measured.
 
-    SIGTERM and SIGINT end it alike, also where the shell has SIGINT ignored: every process is ended first.
+    SIGTERM and SIGINT cancel the run, even if the shell has SIGINT ignored; all processes are ended first.
     """
     check_machine(scenario)
-    commit, dirty = checkout()
+    commit, dirty = git_commit()
     task = asyncio.current_task()
     assert task is not None
-    for ending in ENDING:
-        asyncio.get_running_loop().add_signal_handler(ending, task.cancel)
+    for stop_signal in STOP_SIGNALS:
+        asyncio.get_running_loop().add_signal_handler(stop_signal, task.cancel)
     points = []
     try:
-        for number, planned in enumerate(plan(scenario)):
-            tell(planned, None)
-            seed = scenario.seed * 1_000 + number
+        for index, planned in enumerate(plan_points(scenario)):
+            on_progress(planned, None)
+            seed = scenario.seed * 1_000 + index
             point = await _measure(scenario, planned, seed, Point(
                 commit=commit, dirty=dirty, seed=seed, machine=machine(), scenario=name, sweep=planned.sweep,
                 repeat=planned.repeat, load=planned.load, seconds=scenario.seconds, schedulers=[], baseline=[],
-                way=told(scenario.way, planned.load)))
+                way=exchange_kind_at(scenario.way, planned.load)))
             points.append(point)
             if out is not None:
                 append_point(out, point)
-            tell(planned, point)
+            on_progress(planned, point)
     finally:
-        for ending in ENDING:
-            asyncio.get_running_loop().remove_signal_handler(ending)
+        for stop_signal in STOP_SIGNALS:
+            asyncio.get_running_loop().remove_signal_handler(stop_signal)
     return points
 
 
-async def _measure(scenario: Scenario, planned: Planned, seed: int, empty: Point) -> Point:
-    """One point; what goes wrong with it is said in it and ends no run."""
+async def _measure(scenario: Scenario, planned: PlannedPoint, seed: int, empty: Point) -> Point:
+    """Measures one point.  A failure is recorded in the point and does not end the run."""
     try:
         planned_s = 2 * (scenario.seconds + scenario.warm_up_s) + scenario.in_force_s
-        async with asyncio.timeout(POINT_MOST_S + planned_s):
-            async with Stage(scenario, planned.load, seed, tells=False) as stage:
-                await stage.warm_up()
-                baseline = await stage.window(scenario.seconds)
-            async with Stage(scenario, planned.load, seed, tells=True) as stage:
-                changes = 0.0 if planned.sweep == SETTINGS_SWEEP else planned.load.changes_per_s
-                await stage.warm_up()
-                found = await stage.window(scenario.seconds, changes)
-                schedulers = await stage.with_ages(found.schedulers)
-                in_force = await _in_force(stage, planned, scenario)
+        async with asyncio.timeout(POINT_OVERHEAD_TIMEOUT_S + planned_s):
+            async with Deployment(scenario, planned.load, seed, peer_messages=False) as deployment:
+                await deployment.warm_up()
+                baseline = await deployment.measure_window(scenario.seconds)
+            async with Deployment(scenario, planned.load, seed, peer_messages=True) as deployment:
+                changes_per_s = 0.0 if planned.sweep == SETTINGS_SWEEP else planned.load.changes_per_s
+                await deployment.warm_up()
+                window = await deployment.measure_window(scenario.seconds, changes_per_s)
+                schedulers = await deployment.with_ages(window.schedulers)
+                in_force = await _measure_latency(deployment, planned, scenario)
     except (ProcessError, OSError, TimeoutError) as error:
         return replace(empty, failed=repr(error))
-    return replace(empty, seconds=found.seconds, schedulers=schedulers, baseline=baseline.schedulers,
+    return replace(empty, seconds=window.seconds, schedulers=schedulers, baseline=baseline.schedulers,
                    baseline_seconds=baseline.seconds, in_force_ms=in_force,
-                   failed=unsound(found, planned.load.schedulers))
+                   failed=unsound_reason(window, planned.load.schedulers))
 
 
-async def _in_force(stage: Stage, planned: Planned, scenario: Scenario) -> InForce | None:
-    per_s = planned.load.changes_per_s
+async def _measure_latency(deployment: Deployment, planned: PlannedPoint, scenario: Scenario
+                           ) -> ChangeLatency | None:
+    changes_per_s = planned.load.changes_per_s
     if planned.sweep == CHANGES_SWEEP:
-        await stage.rest()
-        return await list_changes(stage.real, stage.registry, per_s, scenario.in_force_s)
+        await deployment.restore_list()
+        return await measure_list_changes(
+            deployment.real_schedulers, deployment.registry, changes_per_s, scenario.in_force_s)
     if planned.sweep == SETTINGS_SWEEP:
-        return await settings_changes(stage.real, per_s, scenario.in_force_s)
+        return await measure_settings_changes(deployment.real_schedulers, changes_per_s, scenario.in_force_s)
     return None
 
 
-def unsound(window: Window, schedulers: int) -> str:
-    """Why a window does not show the load that was planned; empty if it does.
+def unsound_reason(window: Window, schedulers: int) -> str:
+    """Why a window does not represent the planned load; empty if it does.
 
-    ``schedulers``: all of them.
+    ``schedulers``: the number of all schedulers, real and hollow.
     """
     if window.sent is None:
         return ""
     before, after = window.sent
-    went_by, covered = after.at_s - before.at_s, after.covered_s - before.covered_s
+    elapsed_s, covered_s = after.at_s - before.at_s, after.covered_s - before.covered_s
     faults = []
-    if covered < (1.0 - BEHIND_MOST) * went_by:
-        faults.append(f"the hollow schedulers played {covered:.2f} s of {went_by:.2f} s: "
-                      f"{(after.starts - before.starts) / went_by:.0f} starts a second")
+    if covered_s < (1.0 - MAX_UNPLAYED_SHARE) * elapsed_s:
+        faults.append(f"the hollow schedulers played {covered_s:.2f} s of {elapsed_s:.2f} s: "
+                      f"{(after.starts - before.starts) / elapsed_s:.0f} starts a second")
     sent = (after.datagrams - before.datagrams) * len(window.schedulers)
-    # The real ones hear each other too, and tell every peer the same.
-    told = sum(m.peer_out_datagrams for m in window.schedulers)
-    from_real = told * (len(window.schedulers) - 1) / (schedulers - 1)
-    came = round(sum(m.peer_in_datagrams for m in window.schedulers) - from_real)
-    if came < (1.0 - LOST_MOST) * sent:
-        faults.append(f"{came} of the hollow schedulers' {sent} datagrams arrived")
+    # The real schedulers also receive from each other; each sends the same number to every peer.
+    sent_by_real = sum(m.peer_out_datagrams for m in window.schedulers)
+    expected_from_real = sent_by_real * (len(window.schedulers) - 1) / (schedulers - 1)
+    received = round(sum(m.peer_in_datagrams for m in window.schedulers) - expected_from_real)
+    if received < (1.0 - MAX_LOST_SHARE) * sent:
+        faults.append(f"{received} of the hollow schedulers' {sent} datagrams arrived")
     if window.dropped:
         faults.append(f"{window.dropped} datagrams found a full mailbox")
     return "; ".join(faults)
 
 
-class Stage:
-    """The processes and stand-ins of one start; an async context that ends all of them."""
+class Deployment:
+    """The processes and simulated parts of one start; an async context manager that ends all of them."""
 
-    def __init__(self, scenario: Scenario, load: Load, seed: int, tells: bool) -> None:
+    def __init__(self, scenario: Scenario, load: Load, seed: int, peer_messages: bool) -> None:
         self.scenario = scenario
         self.load = load
         self.seed = seed
-        self.tells = tells
-        self.way = told(scenario.way, load)
+        self.peer_messages = peer_messages
+        self.exchange_kind = exchange_kind_at(scenario.way, load)
         self.workers = Workers(WORK_MS, seed)
         self.registry: Registry
-        self.real: list[RealScheduler] = []
+        self.real_schedulers: list[RealScheduler] = []
         self.hollow = HollowProcess()
         self.clients: list[Clients] = []
         self._stack = AsyncExitStack()
 
-    async def __aenter__(self) -> Stage:
-        """Start everything; what was started is ended if a later part does not start."""
+    async def __aenter__(self) -> Deployment:
+        """Starts all parts; if one does not start, ends those already started."""
         async with self._stack:
             await self._start()
             self._stack = self._stack.pop_all()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End everything."""
+        """Ends all parts."""
         await self._stack.aclose()
 
     async def _start(self) -> None:
@@ -216,92 +219,94 @@
         folder = Path(tempfile.mkdtemp(prefix="gaphub-scale-"))
         stack.callback(shutil.rmtree, folder, ignore_errors=True)
         stack.callback(self.workers.close)
-        await self.workers.open(ANSWERING)
+        await self.workers.open(RESPONDING_WORKERS)
         self.registry = Registry(load.workers, load.zones, self.workers.addresses, self.seed)
-        for number in range(self.scenario.real_schedulers):
+        for index in range(self.scenario.real_schedulers):
             agent = CountingAgent(self.registry)
             stack.callback(agent.close)
             await agent.open()
-            self.real.append(RealScheduler(folder, number, agent))
+            self.real_schedulers.append(RealScheduler(folder, index, agent))
         hollow = self._hollow_addresses()
-        peers = [one.peer_listen for one in self.real] + hollow
-        for one in self.real:
-            one.configure(load, peers, self.scenario.peer_price, self.tells, self.way)
-            stack.push_async_callback(one.close)
-            await one.start()
-        if self.way is Told.SHARDED:  # a scheduler that hears nobody for some rounds takes all to be dead
+        peers = [scheduler.peer_listen for scheduler in self.real_schedulers] + hollow
+        for scheduler in self.real_schedulers:
+            scheduler.configure(load, peers, self.scenario.peer_price, self.peer_messages, self.exchange_kind)
+            stack.push_async_callback(scheduler.close)
+            await scheduler.start()
+        # Sharded: a scheduler that receives nothing for some rounds takes all peers to be dead.
+        if self.exchange_kind is ExchangeKind.SHARDED:
             await self._start_hollow(hollow)
-        for one in self.real:
-            await one.ready(load.workers)
-        if self.way is Told.ALL_TO_ALL:  # each tells its whole table once, soon
+        for scheduler in self.real_schedulers:
+            await scheduler.wait_ready(load.workers)
+        # All to all: the hollow schedulers send their first snapshots at once, so the real ones must be ready.
+        if self.exchange_kind is ExchangeKind.ALL_TO_ALL:
             await self._start_hollow(hollow)
-        for one in self.real:
-            self._send_to(one)
+        for scheduler in self.real_schedulers:
+            self._start_client(scheduler)
 
     async def _start_hollow(self, listen: list[Address]) -> None:
-        if self.tells:
+        if self.peer_messages:
             self._stack.push_async_callback(self.hollow.close)
             await self.hollow.start(self._hollow_plan(listen))
 
     def _hollow_addresses(self) -> list[Address]:
-        return [hollow_address(i) for i in range(self.load.schedulers - len(self.real))]
+        return [hollow_address(i) for i in range(self.load.schedulers - len(self.real_schedulers))]
 
     def _hollow_plan(self, listen: list[Address]) -> HollowPlan:
-        load, part = self.load, len(listen) / self.load.schedulers
+        load, hollow_share = self.load, len(listen) / self.load.schedulers
         return HollowPlan(
-            listen, [one.peer_listen for one in self.real], load.schedulers, load.workers,
-            load.starts_per_s * part, round(load.tasks_running * part), self.scenario.warm_up_s / 2, self.seed,
-            self.way)
+            listen, [scheduler.peer_listen for scheduler in self.real_schedulers], load.schedulers, load.workers,
+            load.starts_per_s * hollow_share, round(load.tasks_running * hollow_share),
+            self.scenario.warm_up_s / 2, self.seed, self.exchange_kind)
 
-    def _send_to(self, one: RealScheduler) -> None:
-        share = min(self.load.starts_per_s / self.load.schedulers, self.scenario.requests_most_per_s)
-        clients = Clients(one.listen, share, self.seed + one.number)
+    def _start_client(self, scheduler: RealScheduler) -> None:
+        requests_per_s = min(self.load.starts_per_s / self.load.schedulers, self.scenario.requests_most_per_s)
+        clients = Clients(scheduler.listen, requests_per_s, self.seed + scheduler.number)
         self._stack.push_async_callback(clients.close)
         self.clients.append(clients)
         clients.start()
 
     async def warm_up(self) -> None:
-        """Let pass what belongs to the start."""
+        """Waits until the effects of the start have passed."""
         warm_up_s = self.scenario.warm_up_s
-        await asyncio.sleep(warm_up_s if self.tells else min(warm_up_s, SILENT_WARM_UP_MOST_S))
+        await asyncio.sleep(warm_up_s if self.peer_messages else min(warm_up_s, MAX_BASELINE_WARM_UP_S))
 
-    async def window(self, seconds: float, changes_per_s: float = 0.0) -> Window:
-        """Measure; ``changes_per_s``: of the list, meanwhile."""
+    async def measure_window(self, seconds: float, changes_per_s: float = 0.0) -> Window:
+        """Measures one window, with list changes at the rate ``changes_per_s``."""
         churn = asyncio.create_task(self.registry.churn(changes_per_s))
         try:
-            sent = await self._sent()
+            sent = await self._fleet_counters()
             before = await self._samples()
             await asyncio.sleep(seconds)
             after = await self._samples()
-            sent_after = await self._sent()
+            sent_after = await self._fleet_counters()
         finally:
             churn.cancel()
             await asyncio.wait([churn])
         if not churn.cancelled():
-            churn.result()  # raises what ended it
-        both = list(zip(self.real, before, after, strict=True))
+            churn.result()  # raises the error that ended it
+        pairs = list(zip(self.real_schedulers, before, after, strict=True))
         return Window(
-            sum(b.at_s - a.at_s for _, a, b in both) / len(both),
-            [measured(one.name, a, b) for one, a, b in both],
+            sum(after.at_s - before.at_s for _, before, after in pairs) / len(pairs),
+            [usage_between(scheduler.name, before, after) for scheduler, before, after in pairs],
             (sent, sent_after) if sent is not None and sent_after is not None else None,
-            sum(b.count("peers.dropped") - a.count("peers.dropped") for _, a, b in both))
+            sum(after.counter("peers.dropped") - before.counter("peers.dropped") for _, before, after in pairs))
 
-    async def with_ages(self, schedulers: list[Measured]) -> list[Measured]:
-        """Add how old the sums are that each real scheduler believes; finding that costs it time: in no window."""
-        if self.way is not Told.SHARDED:
+    async def with_ages(self, schedulers: list[SchedulerUsage]) -> list[SchedulerUsage]:
+        """Adds the age of the sums in use.  The query costs the schedulers CPU time, so it is after the window."""
+        if self.exchange_kind is not ExchangeKind.SHARDED:
             return schedulers
-        seen = [await one.occupancy() for one in self.real]
-        return [replace(one, age_p50_ms=s.age_p50_ms, age_p99_ms=s.age_p99_ms)
-                for one, s in zip(schedulers, seen, strict=True)]
+        statuses = [await scheduler.occupancy() for scheduler in self.real_schedulers]
+        return [replace(scheduler, age_p50_ms=s.age_p50_ms, age_p99_ms=s.age_p99_ms)
+                for scheduler, s in zip(schedulers, statuses, strict=True)]
 
-    async def rest(self) -> None:
-        """Put every worker into the list again, and wait until all real schedulers know."""
-        self.registry.restore()
-        for one in self.real:
-            await one.ready(self.load.workers)
+    async def restore_list(self) -> None:
+        """Adds all removed workers to the list again, and waits until all real schedulers have them."""
+        self.registry.relist_all()
+        for scheduler in self.real_schedulers:
+            await scheduler.wait_ready(self.load.workers)
 
     async def _samples(self) -> list[Sample]:
-        return [await one.sample() for one in self.real]
+        return [await scheduler.read_usage() for scheduler in self.real_schedulers]
 
-    async def _sent(self) -> Sent | None:
-        return await self.hollow.count() if self.tells else None
+    async def _fleet_counters(self) -> FleetCounters | None:
+        return await self.hollow.counters() if self.peer_messages else None
--- a/gaphub/lab/scale/sampling.py
+++ b/gaphub/lab/scale/sampling.py
@@ -1,14 +1,14 @@
-"""Owns what is read from a real scheduler before and after a window, and the difference.  Pure."""
+"""Samples of a real scheduler's resource use, taken before and after a window, and their difference.  Pure."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-from .points import Measured
+from .points import SchedulerUsage
 
 
 class Sample(Struct, frozen=True):
-    """What a process had spent at one moment."""
+    """What a process had used up to one moment."""
 
     at_s: float
     cpu_s: float
@@ -17,19 +17,19 @@
     list_in_bytes: int
     list_out_bytes: int
 
-    def count(self, name: str) -> int:
-        """A counter of the process; 0 where it has not counted yet."""
+    def counter(self, name: str) -> int:
+        """The value of a counter; 0 if the process has not counted anything under this name."""
         return self.counters.get(name, 0)
 
 
-def measured(name: str, before: Sample, after: Sample) -> Measured:
-    """What a process spent between two samples."""
+def usage_between(name: str, before: Sample, after: Sample) -> SchedulerUsage:
+    """What a process used between two samples."""
 
-    def gained(counter: str) -> int:
-        return after.count(counter) - before.count(counter)
+    def delta(counter: str) -> int:
+        return after.counter(counter) - before.counter(counter)
 
-    return Measured(
+    return SchedulerUsage(
         name, after.cpu_s - before.cpu_s, after.rss_mb,
-        gained("peers.received_bytes"), gained("peers.sent_bytes"), gained("peers.received"), gained("peers.sent"),
+        delta("peers.received_bytes"), delta("peers.sent_bytes"), delta("peers.received"), delta("peers.sent"),
         after.list_in_bytes - before.list_in_bytes, after.list_out_bytes - before.list_out_bytes,
-        gained("requests.served"))
+        delta("requests.served"))
--- a/gaphub/lab/scale/series.py
+++ b/gaphub/lab/scale/series.py
@@ -1,4 +1,4 @@
-"""Points sorted into sweeps, and each measure of a sweep with its line."""
+"""Groups points into sweeps, and fits a line to each measure of a sweep."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from .budget import Comparison, Target
 from .fit import Estimate, FitError, Line, fit_line
-from .measures import CONTROL_CPU, SWEPT, Measure, Swept, baseline_fault, measures_of, unusable
-from .points import Load, Point, Told
+from .measures import CONTROL_CPU, SWEPT_KEYS, Measure, SweptKey, baseline_fault, measures_of, unusable_reason
+from .points import ExchangeKind, Load, Point
 
 
 @dataclass(frozen=True)
-class Sourced:
-    """A point and where it was read."""
+class SourcedPoint:
+    """A point and the place from which it was read."""
 
     point: Point
     file: str
-    number: int  # among the points of the file, from 1
+    number: int  # position among the points of the file, from 1
 
     @property
     def source(self) -> str:
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Remark:
-    """What is to be said of one point."""
+    """A remark on one point, for the report."""
 
     source: str
     load: Load
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """One measure at one point."""
+    """The values of one measure at one point."""
 
     x: float
-    values: tuple[float, ...]  # of each real process
+    values: tuple[float, ...]  # one for each real process, or one for the point
     source: str
 
     @property
     def mean(self) -> float:
-        """What the fit takes: processes of one point share its noise and are not independent."""
+        """The value that is fitted: the processes of a point share its noise, so they are not independent."""
         return sum(self.values) / len(self.values)
 
 
@@ -57,32 +57,32 @@
     measure: Measure
     observations: tuple[Observation, ...]
     line: Line | None
-    no_line: str  # why there is no line
+    no_line_reason: str  # empty if there is a line
 
     @property
     def name(self) -> str:
-        """The name of the series in files."""
-        way = "" if self.sweep.way is Told.ALL_TO_ALL else f"-{self.sweep.way.value}"
+        """The name of the series in file names."""
+        way = "" if self.sweep.way is ExchangeKind.ALL_TO_ALL else f"-{self.sweep.way.value}"
         name = f"{self.sweep.scenario}{way}-{self.sweep.swept.key}-{self.measure.key}"
         return re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
 
-    def missed(self) -> int:
-        """For times until changes are in force: how many were not seen to end, and count with the time waited."""
+    def missed_changes(self) -> int:
+        """For times until changes are in force: how many timed out, and are counted with the time-out."""
         times = [each.point.in_force_ms for each in self.sweep.points]
-        return sum(each.missed for each in times if each is not None and each.kind == self.measure.in_force_kind)
+        return sum(each.missed for each in times if each is not None and each.kind == self.measure.change_kind)
 
-    def without_baseline(self) -> int:
-        """For control CPU: the points whose baseline is missing or carried other requests."""
+    def doubtful_baselines(self) -> int:
+        """For control CPU: the number of points whose baseline is missing or had a different request count."""
         if self.measure is not CONTROL_CPU:
             return 0
         return sum(bool(baseline_fault(each.point)) for each in self.sweep.points)
 
     def at_target(self, target: Target) -> Estimate | None:
-        """The line at the target's load."""
+        """The value of the line at the target's load."""
         return None if self.line is None else self.line.mean_at(self.sweep.swept.of_target(target))
 
     def comparison(self, target: Target) -> Comparison | None:
-        """The line at the target's load against the budget."""
+        """The value of the line at the target's load, compared with the budget."""
         estimate = self.at_target(target)
         if estimate is None or self.measure.budget is None:
             return None
@@ -92,83 +92,85 @@
 
 @dataclass
 class Sweep:
-    """The usable points of one scenario and way of telling occupancy that vary one key of the load."""
+    """The usable points of one scenario and occupancy exchange that vary one key of the load."""
 
     scenario: str
-    swept: Swept
-    way: Told = Told.ALL_TO_ALL
-    points: list[Sourced] = field(default_factory=list)
+    swept: SweptKey
+    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
+    points: list[SourcedPoint] = field(default_factory=list)
 
     @property
     def title(self) -> str:
         """The heading of the sweep."""
-        way = "" if self.way is Told.ALL_TO_ALL else f", {self.way.value}"
+        way = "" if self.way is ExchangeKind.ALL_TO_ALL else f", {self.way.value}"
         return f"{self.scenario}{way}: {self.swept.title}"
 
     def x(self, point: Point) -> float:
-        """The swept load of a point."""
+        """The value of the swept key at a point."""
         return self.swept.of_load(point.load)
 
-    def greatest(self) -> float:
-        """The greatest load that was measured."""
+    def max_load(self) -> float:
+        """The greatest measured value of the swept key."""
         return max(self.x(each.point) for each in self.points)
 
     def series(self) -> list[Series]:
-        """Each measure that the sweep can move and any point carries."""
-        found = [_series(self, measure) for measure in measures_of(self.swept)]
-        return [each for each in found if each.observations]
+        """A series for each measure that the sweep can affect and at least one point carries."""
+        candidates = [_make_series(self, measure) for measure in measures_of(self.swept)]
+        return [each for each in candidates if each.observations]
 
     def remarks(self) -> list[Remark]:
-        """The points whose control CPU is missing or in doubt, and those with changes that were never in force."""
-        found = []
+        """Remarks on points with missing or doubtful control CPU, and on those with changes that timed out."""
+        remarks = []
         for each in self.points:
             fault = baseline_fault(each.point)
-            if fault and not self.swept.only_kind:
-                found.append(Remark(each.source, each.point.load, f"control CPU in doubt: {fault}"))
+            if fault and not self.swept.only_change_kind:
+                remarks.append(Remark(each.source, each.point.load, f"control CPU in doubt: {fault}"))
             times = each.point.in_force_ms
             if times is not None and times.missed:
-                found.append(Remark(each.source, each.point.load,
-                                    f"{times.missed} of {times.count} times a change of the {times.kind} was not "
-                                    "in force in the time waited; they count with that time"))
-        return found
+                remarks.append(Remark(
+                    each.source, each.point.load,
+                    f"{times.missed} of {times.count} times a change of the {times.kind} was not "
+                    "in force in the time waited; they count with that time"))
+        return remarks
 
 
 @dataclass(frozen=True)
-class Sorted:
-    """All points: the usable ones by sweep, and the rest with the reason."""
+class SortedPoints:
+    """All points: the usable ones by sweep, and the failed ones with the reason."""
 
     sweeps: tuple[Sweep, ...]
     failed: tuple[Remark, ...]
 
 
-def sort_points(points: Iterable[Sourced]) -> Sorted:
-    """Sort the points into sweeps, by scenario and way, and then in the order of the keys of the load."""
-    sweeps: dict[tuple[str, str, Told], Sweep] = {}
+def sort_points(points: Iterable[SourcedPoint]) -> SortedPoints:
+    """Groups points into sweeps, ordered by scenario, occupancy exchange and key of the load."""
+    sweeps: dict[tuple[str, str, ExchangeKind], Sweep] = {}
     failed = []
     for each in points:
-        reason = unusable(each.point)
+        reason = unusable_reason(each.point)
         if reason:
             failed.append(Remark(each.source, each.point.load, f"{each.point.sweep}: {reason}"))
             continue
         key = each.point.scenario, each.point.sweep, each.point.way
-        sweep = sweeps.setdefault(key, Sweep(each.point.scenario, SWEPT[each.point.sweep], each.point.way))
+        sweep = sweeps.setdefault(key, Sweep(each.point.scenario, SWEPT_KEYS[each.point.sweep], each.point.way))
         sweep.points.append(each)
-    places = list(SWEPT)
-    order = sorted(sweeps.values(),
-                   key=lambda sweep: (sweep.scenario, sweep.way.value, places.index(sweep.swept.key)))
-    return Sorted(tuple(order), tuple(failed))
+    key_order = list(SWEPT_KEYS)
+    ordered = sorted(sweeps.values(),
+                     key=lambda sweep: (sweep.scenario, sweep.way.value, key_order.index(sweep.swept.key)))
+    return SortedPoints(tuple(ordered), tuple(failed))
 
 
-def _series(sweep: Sweep, measure: Measure) -> Series:
+def _make_series(sweep: Sweep, measure: Measure) -> Series:
     observations = []
     for each in sweep.points:
         values = measure.values(each.point)
         if values:
             observations.append(Observation(sweep.x(each.point), values, each.source))
-    observations.sort(key=lambda seen: seen.x)  # stable: repeats stay in the order of the files
-    line, no_line = None, ""
+    observations.sort(key=lambda observation: observation.x)  # stable: repeats stay in the order of the files
+    line, no_line_reason = None, ""
     try:
-        line = fit_line([seen.x for seen in observations], [seen.mean for seen in observations])
+        line = fit_line([observation.x for observation in observations],
+                        [observation.mean for observation in observations])
     except FitError as error:
-        no_line = str(error)
-    return Series(sweep, measure, tuple(observations), line, no_line)
+        no_line_reason = str(error)
+    return Series(sweep, measure, tuple(observations), line, no_line_reason)
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -1,4 +1,4 @@
-"""The scale report: fits, the ranking against the budgets, and the page made from synthetic points."""
+"""Tests of the scale report: fits, the ranking against the budgets, and the page made from synthetic points."""
 
 from __future__ import annotations
 
@@ -16,21 +16,30 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gaphub.lab.scale.budget import BUDGETS, Comparison, Target, Verdict, ranked
+from gaphub.lab.scale.budget import BUDGETS, Comparison, Target, Verdict, rank_by_factor
 from gaphub.lab.scale.fit import ConstantLoadError, Estimate, NotFiniteError, TooFewPointsError, fit_line
-from gaphub.lab.scale.measures import CONTROL_CPU, LOAD_KEYS, SETTINGS_SWEEP, SWEPT, baseline_fault
-from gaphub.lab.scale.points import InForce, Load, Machine, Measured, Point, PointsError, append_point, read_points
-from gaphub.lab.scale.report import TABLES, report
+from gaphub.lab.scale.measures import CONTROL_CPU, LOAD_KEYS, SETTINGS_SWEEP, SWEPT_KEYS, baseline_fault
+from gaphub.lab.scale.points import (
+    ChangeLatency,
+    Load,
+    Machine,
+    Point,
+    PointsError,
+    SchedulerUsage,
+    append_point,
+    read_points,
+)
+from gaphub.lab.scale.report import TABLES_FILE, report
 from gaphub.lab.scale.report_command import report_command
-from gaphub.lab.scale.series import Series, Sourced, sort_points
+from gaphub.lab.scale.series import Series, SourcedPoint, sort_points
 from gaphub.lab.scale.student import central_probability, two_sided_quantile
-from gaphub.lab.scale.tables import load_number, number, page, table
+from gaphub.lab.scale.tables import format_load, format_number, markdown_table, render_page
 
 PLOT_BYTES_MOST = 60_000
 SECONDS = 20.0
 LOAD = Load(workers=200, schedulers=8, starts_per_s=50.0, tasks_running=5000, changes_per_s=0.5, teams=20, zones=2)
 CPU_PER_WORKER = 0.0001  # of a core
-IDLE_CPU_S = 3.0  # of the requests, in the whole window
+IDLE_CPU_S = 3.0  # CPU time for requests in the whole window
 
 loads = st.lists(st.integers(0, 10_000), min_size=3, max_size=30).filter(lambda xs: len(set(xs)) > 1)
 values = st.floats(-1e3, 1e3)
@@ -195,7 +204,7 @@
 
 
 def test_the_worst_factor_ranks_first() -> None:
-    found = ranked([compared("a", 10.0, 20.0), compared("b", 3.0, 1.0), compared("c", 300.0, 256.0),
+    found = rank_by_factor([compared("a", 10.0, 20.0), compared("b", 3.0, 1.0), compared("c", 300.0, 256.0),
                     compared("d", 6.0, 2.0)])
     assert [each.measure for each in found] == ["b", "d", "c", "a"]
     assert [each.factor for each in found] == pytest.approx([3.0, 3.0, 300 / 256, 0.5])
@@ -204,7 +213,7 @@
 @given(st.lists(st.tuples(st.floats(-1e6, 1e6), st.floats(0.1, 1e3)), min_size=1))
 def test_the_ranking_keeps_every_figure(figures: list[tuple[float, float]]) -> None:
     comparisons = [compared(str(number), value, budget) for number, (value, budget) in enumerate(figures)]
-    found = ranked(reversed(comparisons))
+    found = rank_by_factor(reversed(comparisons))
     assert sorted(found, key=lambda each: int(each.measure)) == comparisons
     assert all(one.factor >= other.factor for one, other in zip(found, found[1:], strict=False))
 
@@ -218,7 +227,7 @@
 
 def test_the_target_has_every_swept_key() -> None:
     assert list(LOAD_KEYS) == list(Load.__struct_fields__)
-    assert list(SWEPT) == [*LOAD_KEYS, SETTINGS_SWEEP.key]
+    assert list(SWEPT_KEYS) == [*LOAD_KEYS, SETTINGS_SWEEP.key]
     target = Target(schedulers=90)
     at = {key: swept.of_target(target) for key, swept in LOAD_KEYS.items()}
     assert at == {"workers": 11_000, "schedulers": 90, "starts_per_s": 2500.0, "tasks_running": 310_000,
@@ -228,14 +237,15 @@
 # the report
 
 
-def process(name: str, cpu_s: float, in_bytes: int = 20_000, requests: int = 1000) -> Measured:
-    return Measured(name=name, cpu_s=cpu_s, rss_mb=60.0, peer_in_bytes=in_bytes, peer_out_bytes=in_bytes // 2,
-                    peer_in_datagrams=400, peer_out_datagrams=200, list_in_bytes=10_000, list_out_bytes=1000,
-                    requests=requests)
+def process(name: str, cpu_s: float, in_bytes: int = 20_000, requests: int = 1000) -> SchedulerUsage:
+    return SchedulerUsage(
+        name=name, cpu_s=cpu_s, rss_mb=60.0, peer_in_bytes=in_bytes, peer_out_bytes=in_bytes // 2,
+        peer_in_datagrams=400, peer_out_datagrams=200, list_in_bytes=10_000, list_out_bytes=1000,
+        requests=requests)
 
 
 def point(workers: int, repeat: int = 0, shift_s: float = 0.0) -> Point:
-    """A point whose control CPU is exactly linear in the workers; the two processes lie evenly about the line."""
+    """A point whose control CPU is exactly linear in the workers; its two processes lie symmetrically about it."""
     cpu_s = IDLE_CPU_S + CPU_PER_WORKER * workers * SECONDS + shift_s
     return Point(commit="abc1234", dirty=False, seed=5, machine=Machine(8, 16_000, "3.11.2"), scenario="steady",
                  sweep="workers", repeat=repeat, load=msgspec.structs.replace(LOAD, workers=workers),
@@ -243,12 +253,12 @@
                  schedulers=[process("s0", cpu_s + 0.01, 100 * workers),
                              process("s1", cpu_s - 0.01, 100 * workers)],
                  baseline=[process("s1", IDLE_CPU_S, 0), process("s0", IDLE_CPU_S, 0)],
-                 in_force_ms=InForce(count=40, p50=300.0, p99=900.0 + workers, worst=1000.0 + workers, missed=0,
-                                     kind="list"))
+                 in_force_ms=ChangeLatency(count=40, p50=300.0, p99=900.0 + workers, worst=1000.0 + workers,
+                                           missed=0, kind="list"))
 
 
 def sweep_points() -> list[Point]:
-    """Three repeats of four loads, with a little noise that differs by the repeat and sums to nothing."""
+    """Three repeats of four loads, with small shifts that differ between repeats and sum to zero."""
     return [point(workers, repeat, shift_s) for workers in (50, 100, 200, 400)
             for repeat, shift_s in enumerate((-0.002, 0.0, 0.002))]
 
@@ -260,20 +270,21 @@
 
 
 def page_of(folder: Path, points: list[Point], target: Target | None = None) -> str:
-    """The page without its plots, which take most of the time."""
+    """The page without its plots, which would take most of the test's time."""
     numbered = enumerate(read_points(write(folder / "points.jsonl", points)), 1)
-    return page(sort_points([Sourced(each, "points.jsonl", number) for number, each in numbered]),
+    return render_page(sort_points([SourcedPoint(each, "points.jsonl", number) for number, each in numbered]),
                 target or Target(), {})
 
 
 def section(text: str, heading: str) -> str:
-    """What stands below one heading."""
+    """The text below one heading."""
     [found] = re.findall(rf"^##+ {re.escape(heading)}\n(.*?)(?=^##|\Z)", text, re.MULTILINE | re.DOTALL)
     return str(found)
 
 
 def series_of(points: list[Point], key: str) -> Series:
-    [sweep] = sort_points([Sourced(each, "points.jsonl", number) for number, each in enumerate(points, 1)]).sweeps
+    [sweep] = sort_points(
+        [SourcedPoint(each, "points.jsonl", number) for number, each in enumerate(points, 1)]).sweeps
     [found] = [each for each in sweep.series() if each.measure.key == key]
     return found
 
@@ -287,7 +298,7 @@
     assert comparison is not None and comparison.verdict is Verdict.OVER
     assert comparison.factor == pytest.approx(100 * CPU_PER_WORKER * 11_000 / BUDGETS.cpu_percent)
     traffic = series_of(sweep_points(), "in").line
-    assert traffic is not None  # 100 bytes a worker in 20 s, and the 10,000 bytes of the list
+    assert traffic is not None  # 100 bytes a worker and 10,000 bytes of the list, in 20 s
     assert (traffic.slope.value, traffic.intercept) == pytest.approx((0.005, 0.5))
 
 
@@ -296,7 +307,7 @@
     uneven = msgspec.structs.replace(one, schedulers=[process("s0", 5.0), process("s1", 9.0)],
                                      baseline=[process("s1", 8.0), process("s0", 3.0)])
     assert CONTROL_CPU.values(uneven) == pytest.approx((10.0, 5.0))
-    longer = msgspec.structs.replace(uneven, baseline_seconds=2 * uneven.seconds)  # spent in twice the time
+    longer = msgspec.structs.replace(uneven, baseline_seconds=2 * uneven.seconds)  # a window of twice the length
     assert CONTROL_CPU.values(longer) == pytest.approx((17.5, 25.0))
 
 
@@ -380,7 +391,7 @@
 
 
 def test_requests_that_differ_by_chance_are_not_in_doubt() -> None:
-    """Of 160 requests a tenth more is chance, of 16,000 it is not."""
+    """A tenth more requests is within chance at 160 requests, and is not at 16,000."""
     [one] = sweep_points()[:1]
     few, many = [msgspec.structs.replace(one, schedulers=[process("s0", 4.0, requests=count * 11 // 10)],
                                          baseline=[process("s0", 3.0, requests=count)]) for count in (160, 16_000)]
@@ -391,7 +402,7 @@
 def test_a_sweep_of_settings_shows_only_when_settings_are_in_force(tmp_path: Path) -> None:
     points = []
     for seed, per_s in enumerate((0.5, 1.0, 2.0), 1):
-        times = InForce(count=30, p50=100.0, p99=200.0 + 100 * per_s, worst=900.0, missed=0, kind="settings")
+        times = ChangeLatency(count=30, p50=100.0, p99=200.0 + 100 * per_s, worst=900.0, missed=0, kind="settings")
         points.append(msgspec.structs.replace(
             point(200), sweep="settings_changes_per_s", seed=seed, in_force_ms=times,
             load=msgspec.structs.replace(LOAD, changes_per_s=per_s), baseline=[]))
@@ -447,11 +458,11 @@
 
 
 def test_numbers_read_plainly() -> None:
-    assert [number(x) for x in (0.0, -0.0, 0.01234, 99.94, 110.4, 12_345.6)] == [
+    assert [format_number(x) for x in (0.0, -0.0, 0.01234, 99.94, 110.4, 12_345.6)] == [
         "0", "0", "0.0123", "99.9", "110", "12,346"]
-    assert [load_number(x) for x in (0.5, 11_000, 310_000.0, 2_500_001)] == [
+    assert [format_load(x) for x in (0.5, 11_000, 310_000.0, 2_500_001)] == [
         "0.5", "11,000", "310,000", "2,500,001"]
-    assert table(["a"], [["x|\ny"]]) == "| a |\n| --- |\n| x\\| y |"
+    assert markdown_table(["a"], [["x|\ny"]]) == "| a |\n| --- |\n| x\\| y |"
 
 
 # the command
@@ -462,7 +473,7 @@
     result = CliRunner().invoke(report_command, [str(path), "--out", str(tmp_path / "out"), "--schedulers", "50"])
     assert result.exit_code == 0, result.output
     assert "12 points (0 failed)" in result.output
-    assert "and 50 schedulers" in (tmp_path / "out" / TABLES).read_text()
+    assert "and 50 schedulers" in (tmp_path / "out" / TABLES_FILE).read_text()
 
 
 @pytest.mark.parametrize(("text", "place"), [
@@ -486,4 +497,4 @@
 
 def test_ranking_is_of_values_not_of_names() -> None:
     one = compared("z", 2.0, 1.0)
-    assert ranked([replace(one, measure="a", budget=4.0), one])[0] is one
+    assert rank_by_factor([replace(one, measure="a", budget=4.0), one])[0] is one
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The scale run: scenarios, the points file, what hollow schedulers say, and short runs on real processes."""
+"""Tests of scale runs: scenarios, points file, messages of hollow schedulers, short runs of real processes."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from gaphub.lab.scale import runner
 from gaphub.lab.scale.discovery import CountingAgent, Registry
 from gaphub.lab.scale.hollow import HollowFleet, HollowPlan, HollowScheduler, worker_name, worker_number
-from gaphub.lab.scale.in_force import LIMIT_S, Watch
+from gaphub.lab.scale.in_force import CHANGE_TIMEOUT_S, ChangeTracker
 from gaphub.lab.scale.points import (
-    InForce,
+    ChangeLatency,
     Load,
     Machine,
-    Measured,
     Point,
     PointsError,
+    SchedulerUsage,
     append_point,
     read_points,
 )
 from gaphub.lab.scale.processes import HollowProcess, RealScheduler
-from gaphub.lab.scale.sampling import Sample, measured
-from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan, read_scenario
+from gaphub.lab.scale.sampling import Sample, usage_between
+from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan_points, read_scenario
 from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.occupancy.ledger import Ledger
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
@@ -41,11 +41,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = ROOT / "deploy" / "scale" / "short.toml"
 TARGET = ROOT / "deploy" / "scale" / "target.toml"
-# Seven schedulers: among so few, ends wait for no company, so that each start and each end is a datagram.
+# Among so few schedulers the ends of tasks are not batched, so each start and each end is a datagram.
 LOAD = Load(workers=64, schedulers=7, starts_per_s=100.0, tasks_running=400, changes_per_s=0.0, teams=5, zones=4)
-# The list is watched for a second at a time: each window holds a whole watch, also where one is late.
+# A watch of the list takes up to a second: each window is long enough to contain a whole one, even a late one.
 SMALL = Scenario(LOAD, Sweeps(), 2, seconds=2.4, warm_up_s=0.6, in_force_s=0.5, requests_most_per_s=10.0)
-PROMISED_MS = 6_000.0  # a change is in force within
+IN_FORCE_BUDGET_MS = 6_000.0  # within which a change must be in force
 
 
 # --- scenarios -----------------------------------------------------------------------------------
@@ -84,9 +84,9 @@
 def test_a_scenario_that_cannot_be_run_is_exit_2_and_names_the_key(
         override: str, key: str, tmp_path: Path) -> None:
     out = tmp_path / "points.jsonl"
-    said = CliRunner().invoke(gaphub, ["lab", "scale", "run", str(SHORT), "--set", override, "--out", str(out)])
-    assert said.exit_code == 2
-    assert said.stderr.startswith(f"{key}:")
+    result = CliRunner().invoke(gaphub, ["lab", "scale", "run", str(SHORT), "--set", override, "--out", str(out)])
+    assert result.exit_code == 2
+    assert result.stderr.startswith(f"{key}:")
     assert not out.exists()
 
 
@@ -108,13 +108,13 @@
 
 def test_the_target_scenario_holds_the_target_and_sweeps_each_key() -> None:
     scenario = read_scenario(TARGET)
-    points = list(plan(scenario))
+    points = list(plan_points(scenario))
     for sweep, most in (("workers", 11_000), ("schedulers", 400), ("starts_per_s", 2_500.0),
                         ("tasks_running", 310_000), ("changes_per_s", 1_375 / 2)):
         swept = [getattr(p.load, sweep) for p in points if p.sweep == sweep]
         assert len(swept) >= 4
         assert max(swept) == most
-    for planned in points:  # one key at a time
+    for planned in points:  # each varies one key only
         key = "changes_per_s" if planned.sweep == "settings_changes_per_s" else planned.sweep
         value = getattr(planned.load, key)
         assert planned.load == msgspec.structs.replace(scenario.load, **{key: value})
@@ -134,10 +134,10 @@
 # --- points --------------------------------------------------------------------------------------
 
 def _point(failed: str = "") -> Point:
-    spent = Measured("n0", 0.5, 64.0, 1_000, 900, 100, 90, 80, 70, 12)
+    usage = SchedulerUsage("n0", 0.5, 64.0, 1_000, 900, 100, 90, 80, 70, 12)
     return Point(commit="c0ffee", dirty=False, seed=7, machine=Machine(8, 24_000, "3.11.7"), scenario="short",
-                 sweep="workers", repeat=1, load=LOAD, seconds=1.25, schedulers=[] if failed else [spent, spent],
-                 baseline=[spent], in_force_ms=None if failed else InForce(8, 1.0, 2.0, 3.0, 1, "list"),
+                 sweep="workers", repeat=1, load=LOAD, seconds=1.25, schedulers=[] if failed else [usage, usage],
+                 baseline=[usage], in_force_ms=None if failed else ChangeLatency(8, 1.0, 2.0, 3.0, 1, "list"),
                  failed=failed)
 
 
@@ -171,7 +171,7 @@
     before = Sample(10.0, 1.0, 60.0, {"peers.sent": 5, "peers.sent_bytes": 50}, 1_000, 100)
     after = Sample(12.0, 1.5, 70.0, {"peers.sent": 8, "peers.sent_bytes": 80, "peers.received": 4,
                                      "peers.received_bytes": 40, "requests.served": 2}, 1_300, 130)
-    assert measured("n1", before, after) == Measured("n1", 0.5, 70.0, 40, 30, 4, 3, 300, 30, 2)
+    assert usage_between("n1", before, after) == SchedulerUsage("n1", 0.5, 70.0, 40, 30, 4, 3, 300, 30, 2)
 
 
 # --- hollow schedulers -----------------------------------------------------------------------------
@@ -181,52 +181,53 @@
     return HollowPlan(listen, [], schedulers, workers, starts, tasks, 1.0, seed)
 
 
-def _play(plan: HollowPlan, seconds: float, step_ms: float = 5.0
+def _simulate(plan: HollowPlan, seconds: float, step_ms: float = 5.0
           ) -> tuple[HollowFleet, list[tuple[float, int, bytes]]]:
     fleet = HollowFleet(plan, 0.0)
-    said, now = [], 0.0
+    messages, now = [], 0.0
     while now < seconds * 1000.0:
         now += step_ms
-        said += [(now, i, data) for i, data in fleet.advance(now)]
-    return fleet, said
+        messages += [(now, i, data) for i, data in fleet.advance(now)]
+    return fleet, messages
 
 
 @pytest.mark.parametrize("schedulers", [5, 12, 60])
 def test_what_hollow_schedulers_say_is_their_table(schedulers: int) -> None:
-    fleet, said = _play(_plan(schedulers, 200.0, 3_000), 4.0)
+    fleet, messages = _simulate(_plan(schedulers, 200.0, 3_000), 4.0)
     ledger, now = Ledger(schedulers - 1), 4_000.0
-    for i, one in enumerate(fleet.schedulers):  # the ends that still wait for company
-        said += [(now, i, data) for data in one.say(now, DELTA)]
-    beats = 0
-    for at, i, data in said:
+    for i, one in enumerate(fleet.schedulers):  # ends that are still held back for batching
+        messages += [(now, i, data) for data in one.encode_messages(now, DELTA)]
+    heartbeats = 0
+    for at, i, data in messages:
         if data[0] == HEARTBEAT_TYPE:
-            beats += 1
+            heartbeats += 1
             continue
         assert decode(data) is not None
         assert len(data) <= MESSAGE_BYTES_MAX
         assert ledger.take(at, i, data) is not None
-    assert beats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.pace) * 0.5
-    assert len({wire_id(n) for n in fleet.numbers}) == len(fleet.numbers)  # else sums would have to be compared
+    assert heartbeats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.heartbeat_slowdown) * 0.5
+    # With colliding wire ids the assertions below would have to compare sums.
+    assert len({wire_id(n) for n in fleet.worker_numbers}) == len(fleet.worker_numbers)
     for i, one in enumerate(fleet.schedulers):
         assert ledger.counts[i] == {wire_id(w): n for w, n in one.counts.items()}
     assert sum(ledger.total.values()) == len(fleet.tasks) == 3_000
 
 
 def test_as_many_tasks_end_as_start_and_the_rate_is_the_planned_one() -> None:
-    fleet, _ = _play(_plan(12, 500.0, 1_000), 10.0)
+    fleet, _ = _simulate(_plan(12, 500.0, 1_000), 10.0)
     assert fleet.starts == fleet.ends
     assert abs(fleet.starts - 5_000) < 5 * 5_000 ** 0.5  # five standard deviations
     assert fleet.covered_ms == pytest.approx(10_000.0)
 
 
 def test_the_same_seed_says_the_same() -> None:
-    first, second = (_play(_plan(12, 300.0, 500), 2.0)[1] for _ in range(2))
-    other = _play(_plan(12, 300.0, 500, seed=4), 2.0)[1]
+    first, second = (_simulate(_plan(12, 300.0, 500), 2.0)[1] for _ in range(2))
+    other = _simulate(_plan(12, 300.0, 500, seed=4), 2.0)[1]
     assert first == second != other
 
 
 def test_a_fleet_that_is_looked_at_too_rarely_leaves_time_out_and_says_so() -> None:
-    fleet, _ = _play(_plan(12, 500.0, 1_000), 10.0, step_ms=200.0)
+    fleet, _ = _simulate(_plan(12, 500.0, 1_000), 10.0, step_ms=200.0)
     assert fleet.covered_ms == pytest.approx(10_000.0 / 4)
     assert fleet.starts < 5_000 / 2
 
@@ -234,44 +235,45 @@
 def test_a_hollow_scheduler_tells_a_start_at_once_and_an_end_with_company() -> None:
     few, many = HollowScheduler(5), HollowScheduler(30)
     for one in (few, many):
-        one.say(0.0, SNAPSHOT)
-        (data,) = one.change(1.0, 77, more=True)
-        told = decode(data)
-        assert told is not None
-        assert told[2] == {77: 1}
-    assert few.change(2.0, 77, more=False)  # among few every end is told
-    assert not many.change(2.0, 77, more=False)
+        one.encode_messages(0.0, SNAPSHOT)
+        (data,) = one.change(1.0, 77, started=True)
+        decoded = decode(data)
+        assert decoded is not None
+        assert decoded[2] == {77: 1}
+    assert few.change(2.0, 77, started=False)  # among few schedulers ends are sent at once
+    assert not many.change(2.0, 77, started=False)
     assert not many.flush(many.pacing.flush_at - 1.0)
     (data,) = many.flush(many.pacing.flush_at)
-    told = decode(data)
-    assert told is not None
-    assert told[2] == {77: 0}
+    decoded = decode(data)
+    assert decoded is not None
+    assert decoded[2] == {77: 0}
 
 
 # --- discovery -------------------------------------------------------------------------------------
 
 def test_the_list_is_told_whole_and_then_by_its_changes() -> None:
     registry = Registry(20, 4, [("127.0.0.1", 9)], 1)
-    whole = msgspec.json.decode(registry.answer(None))
+    whole = msgspec.json.decode(registry.encode_list(None))
     assert whole["full"]
     assert len(whole["servers"]) == 20
     assert {s["zone"] for s in whole["servers"]} == {"z0", "z1", "z2", "z3"}
-    registry.set(5, False)
-    changes = msgspec.json.decode(registry.answer(1))
+    registry.set_listed(5, False)
+    changes = msgspec.json.decode(registry.encode_list(1))
     assert [(s["id"], s["state"]) for s in changes["servers"]] == [(worker_name(5), "left")]
-    assert len(msgspec.json.decode(registry.answer(None))["servers"]) == 19
-    registry.restore()
-    assert [s["state"] for s in msgspec.json.decode(registry.answer(2))["servers"]] == ["active"]
-    assert msgspec.json.decode(registry.answer(registry.version))["servers"] == []
-    assert sorted(registry.by_zone()) == list(range(20))
-    assert {w % 4 for w in registry.by_zone()[:5]} == {0}
+    assert len(msgspec.json.decode(registry.encode_list(None))["servers"]) == 19
+    registry.relist_all()
+    assert [s["state"] for s in msgspec.json.decode(registry.encode_list(2))["servers"]] == ["active"]
+    assert msgspec.json.decode(registry.encode_list(registry.version))["servers"] == []
+    assert sorted(registry.workers_by_zone()) == list(range(20))
+    assert {w % 4 for w in registry.workers_by_zone()[:5]} == {0}
 
 
 def test_a_call_counts_together_with_its_answer() -> None:
-    """A window of CI held two calls and one answer: it began just after an answer and ended while a call waited.
+    """Guards against counting a request without its answer, when a window ends while the request waits.
 
-    Such a window said that a scheduler sends discovery 140 bytes and gets 78, and the check that answers are the
-    larger part failed.  Of 60 windows of 1.2 s that were played at different moments one was so.
+    A window that began just after an answer and ended while a request waited held two requests and one answer:
+    140 bytes sent to discovery and 78 received, so the check that answers are larger failed.  Of 60 windows of
+    1.2 s at different moments one was affected.
     """
     async def play() -> None:
         registry = Registry(20, 4, [("127.0.0.1", 9)], 1)
@@ -280,16 +282,16 @@
         reader, writer = await asyncio.open_connection(*agent.address)
         try:
             await _call(reader, writer, "/api/targets")
-            whole = agent.asked_bytes, agent.answered_bytes
+            whole = agent.request_bytes, agent.answer_bytes
             assert whole[1] > whole[0] > 0
             waiting = asyncio.create_task(_call(reader, writer, "/api/targets?index=1&wait=5000"))
-            while not registry.changed._waiters:  # until the call has come
+            while not registry.changed._waiters:  # until the request has arrived
                 await asyncio.sleep(0.001)
-            assert (agent.asked_bytes, agent.answered_bytes) == whole
-            registry.set(5, False)
+            assert (agent.request_bytes, agent.answer_bytes) == whole
+            registry.set_listed(5, False)
             answer = await waiting
-            assert agent.asked_bytes - whole[0] == len(_request("/api/targets?index=1&wait=5000"))
-            assert agent.answered_bytes - whole[1] == len(answer)
+            assert agent.request_bytes - whole[0] == len(_request("/api/targets?index=1&wait=5000"))
+            assert agent.answer_bytes - whole[1] == len(answer)
         finally:
             writer.close()
             agent.close()
@@ -302,7 +304,7 @@
 
 
 async def _call(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, target: str) -> bytes:
-    """One call; the whole answer as it came."""
+    """Sends one request; returns the full answer, head and body."""
     writer.write(_request(target))
     head = await reader.readuntil(b"\r\n\r\n")
     return head + await reader.readexactly(int(head.lower().partition(b"content-length:")[2].split()[0]))
@@ -328,24 +330,24 @@
 # --- changes that come into force --------------------------------------------------------------------
 
 def test_a_change_that_never_comes_into_force_is_missed_and_counts_with_the_limit() -> None:
-    watch = Watch(2)
-    watch.made = [1.0, 2.0]
-    watch.saw(0, 1, 1.5)
-    watch.saw(0, 5, 3.0)  # more than were made, as others may change the list too
-    watch.saw(1, 1, 1.1)
-    found = watch.result("list")
+    tracker = ChangeTracker(2)
+    tracker.made_at = [1.0, 2.0]
+    tracker.record_applied(0, 1, 1.5)
+    tracker.record_applied(0, 5, 3.0)  # more than were made: the list may also change for other reasons
+    tracker.record_applied(1, 1, 1.1)
+    found = tracker.result("list")
     assert (found.count, found.missed, found.kind) == (4, 1, "list")
-    assert found.worst == pytest.approx(LIMIT_S * 1000.0, rel=0.01)
+    assert found.worst == pytest.approx(CHANGE_TIMEOUT_S * 1000.0, rel=0.01)
     assert found.p50 == pytest.approx(500.0, rel=0.01)
-    assert watch.complete(0)
-    assert not watch.complete(1)
+    assert tracker.is_complete(0)
+    assert not tracker.is_complete(1)
 
 
 # --- short runs on real processes ------------------------------------------------------------------
 
 @pytest.fixture(scope="module")
 def points(tmp_path_factory: pytest.TempPathFactory) -> list[Point]:
-    """One short run."""
+    """The points of one short run."""
     file = tmp_path_factory.mktemp("scale") / "points.jsonl"
     sweeps = Sweeps(starts_per_s=[100.0, 400.0], changes_per_s=[20.0], settings_changes_per_s=[2.0])
     found = asyncio.run(runner.run("small", msgspec.structs.replace(SMALL, sweeps=sweeps), file))
@@ -382,7 +384,8 @@
 def test_more_starts_are_more_datagrams_in_proportion(points: list[Point]) -> None:
     few, many = sorted(_of(points, "starts_per_s"), key=lambda p: p.load.starts_per_s)
     rates = [sum(m.peer_in_datagrams for m in p.schedulers) / p.seconds for p in (few, many)]
-    # Each start and each end is one, beside beats, turns and what the other real one tells.
+    # One datagram for each start and each end; heartbeats, periodic ones and those of the other real scheduler are
+    # the same at both loads.
     expected = 2 * (400.0 - 100.0) * 5 / 7 * 2
     assert rates[1] - rates[0] == pytest.approx(expected, rel=0.25)
     came = [sum(m.peer_in_bytes for m in p.schedulers) for p in (few, many)]
@@ -392,12 +395,12 @@
 def test_changes_of_the_list_and_of_the_settings_come_into_force_within_the_promise(points: list[Point]) -> None:
     for sweep, kind in (("changes_per_s", "list"), ("settings_changes_per_s", "settings")):
         (point,) = _of(points, sweep)
-        seen = point.in_force_ms
-        assert seen is not None
-        assert seen.kind == kind
-        assert seen.missed == 0
-        assert seen.count >= 8
-        assert 0.0 < seen.p50 <= seen.p99 <= seen.worst < PROMISED_MS
+        latency = point.in_force_ms
+        assert latency is not None
+        assert latency.kind == kind
+        assert latency.missed == 0
+        assert latency.count >= 8
+        assert 0.0 < latency.p50 <= latency.p99 <= latency.worst < IN_FORCE_BUDGET_MS
     (changing,), resting = _of(points, "changes_per_s"), _of(points, "starts_per_s")
     assert min(m.list_in_bytes for m in changing.schedulers) > max(
         m.list_in_bytes for p in resting for m in p.schedulers)
@@ -406,9 +409,9 @@
 def test_bytes_in_agree_with_what_the_others_sent() -> None:
     async def play() -> None:
         load = msgspec.structs.replace(LOAD, starts_per_s=300.0)
-        async with runner.Stage(SMALL, load, 5, tells=True) as stage:
-            await stage.warm_up()
-            window = await stage.window(1.5)
+        async with runner.Deployment(SMALL, load, 5, peer_messages=True) as deployment:
+            await deployment.warm_up()
+            window = await deployment.measure_window(1.5)
         assert window.sent is not None
         before, after = window.sent
         for mine, other in zip(window.schedulers, reversed(window.schedulers), strict=True):
@@ -423,21 +426,23 @@
 
 
 def test_a_window_whose_load_was_not_played_is_unsound() -> None:
-    from gaphub.lab.scale.hollow import Sent
+    from gaphub.lab.scale.hollow import FleetCounters
 
-    def window(covered: float, came: int, dropped: int = 0) -> runner.Window:
-        spent = Measured("n0", 0.1, 60.0, 10 * came, 0, came, 0, 0, 0, 0)
-        sent = Sent(0.0, 0.0, 0, 0, 9, 0, 0, 0), Sent(10.0, covered, 90, 90, 9, 1_000, 9_000, 0)
-        return runner.Window(10.0, [spent], sent, dropped)
+    def window(covered_s: float, received: int, dropped: int = 0) -> runner.Window:
+        usage = SchedulerUsage("n0", 0.1, 60.0, 10 * received, 0, received, 0, 0, 0, 0)
+        sent = (FleetCounters(0.0, 0.0, 0, 0, 9, 0, 0, 0),
+                FleetCounters(10.0, covered_s, 90, 90, 9, 1_000, 9_000, 0))
+        return runner.Window(10.0, [usage], sent, dropped)
 
-    assert runner.unsound(window(9.9, 990), 7) == ""
-    assert "played 9.00 s of 10.00 s" in runner.unsound(window(9.0, 990), 7)
-    assert "900 of the hollow schedulers' 1000" in runner.unsound(window(9.9, 900), 7)
-    # Of 1,000 for each of two, 900 came to each and 90 more from the other real one.
-    spent = Measured("n0", 0.1, 60.0, 0, 0, 990, 90 * 6, 0, 0, 0)
-    sent = Sent(0.0, 0.0, 0, 0, 9, 0, 0, 0), Sent(10.0, 10.0, 90, 90, 9, 1_000, 9_000, 0)
-    assert "1800 of the hollow schedulers' 2000" in runner.unsound(runner.Window(10.0, [spent] * 2, sent, 0), 7)
-    assert "3 datagrams found a full mailbox" in runner.unsound(window(9.9, 990, 3), 7)
+    assert runner.unsound_reason(window(9.9, 990), 7) == ""
+    assert "played 9.00 s of 10.00 s" in runner.unsound_reason(window(9.0, 990), 7)
+    assert "900 of the hollow schedulers' 1000" in runner.unsound_reason(window(9.9, 900), 7)
+    # Of 1,000 sent to each of two schedulers, each received 900, and 90 more from the other real scheduler.
+    usage = SchedulerUsage("n0", 0.1, 60.0, 0, 0, 990, 90 * 6, 0, 0, 0)
+    sent = FleetCounters(0.0, 0.0, 0, 0, 9, 0, 0, 0), FleetCounters(10.0, 10.0, 90, 90, 9, 1_000, 9_000, 0)
+    assert "1800 of the hollow schedulers' 2000" in runner.unsound_reason(
+        runner.Window(10.0, [usage] * 2, sent, 0), 7)
+    assert "3 datagrams found a full mailbox" in runner.unsound_reason(window(9.9, 990, 3), 7)
 
 
 # --- every process is ended --------------------------------------------------------------------------
@@ -446,7 +451,7 @@
 def test_what_was_started_is_ended_when_a_point_fails(
         fault: str, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     started: list[RealScheduler | HollowProcess] = []
-    start_real, start_hollow, warm_up = RealScheduler.start, HollowProcess.start, runner.Stage.warm_up
+    start_real, start_hollow, warm_up = RealScheduler.start, HollowProcess.start, runner.Deployment.warm_up
 
     async def real(self: RealScheduler) -> None:
         await start_real(self)
@@ -457,18 +462,18 @@
         await start_hollow(self, broken if fault == "the hollow fleet" else plan)
         started.append(self)
 
-    async def warming(self: runner.Stage) -> None:
+    async def failing_warm_up(self: runner.Deployment) -> None:
         await warm_up(self)
-        if fault == "a scheduler" and self.tells:
-            assert self.real[0].process is not None
-            self.real[0].process.kill()
-            await self.real[0].process.wait()
+        if fault == "a scheduler" and self.peer_messages:
+            assert self.real_schedulers[0].process is not None
+            self.real_schedulers[0].process.kill()
+            await self.real_schedulers[0].process.wait()
 
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr("tempfile.tempdir", None)
     monkeypatch.setattr(RealScheduler, "start", real)
     monkeypatch.setattr(HollowProcess, "start", hollow)
-    monkeypatch.setattr(runner.Stage, "warm_up", warming)
+    monkeypatch.setattr(runner.Deployment, "warm_up", failing_warm_up)
     scenario = msgspec.structs.replace(SMALL, sweeps=Sweeps(workers=[64]))
     (point,) = asyncio.run(runner.run("small", scenario, None))
     assert ("hollow fleet has ended" if fault == "the hollow fleet" else "n0") in point.failed
@@ -496,9 +501,9 @@
         started = run.children()
         assert len(started) == 2
         child.send_signal(number)
-        _, said = child.communicate(timeout=30.0)
-        assert child.returncode == 130, said
-        assert b"every process was ended" in said
+        _, stderr = child.communicate(timeout=30.0)
+        assert child.returncode == 130, stderr
+        assert b"every process was ended" in stderr
         assert not any(p.is_running() for p in started)
         assert list(folder.iterdir()) == []
     finally:
