--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -27,7 +27,7 @@
 from .net import gearman
 from .net.arrival import TimedLoop
 from .net.destinations import DiscoveryClient
-from .net.gearman import Gearman
+from .net.gearman import GearmanFrontEnd
 from .net.http import INBOUND_SOCKET_SHARE, Inbound, Outbound
 from .net.http.reuseport import FIRST, SECOND
 from .net.ops import OpsServer
@@ -142,12 +142,12 @@
         core.log_request = partial(counters.line, "request")
     outbound = Outbound(config, core, counters)
     # Sessions of the Gearman front end use file descriptors from the share of the HTTP clients.
-    socket_share = 1.0 - gearman.SESSIONS_PART / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
+    socket_share = 1.0 - gearman.SOCKET_SHARE / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
     inbound = Inbound(config, core, counters, socket_share=socket_share)
     destinations = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
-    gearman_front = Gearman(config, core, counters, store, stop.set)
+    gearman_front = GearmanFrontEnd(config, core, counters, store, stop.set)
     sinks = Sinks(config, counters)
     address: ServiceAddress | None = None
     address_inbound: Inbound | None = None
@@ -155,7 +155,7 @@
         from .service import ServiceAddress  # saves the cost where no cluster is configured
 
         address = ServiceAddress(config, core, counters)
-        address.on_lease_gained = gearman_front.took_over
+        address.on_lease_gained = gearman_front.on_lease_gained
         address.on_lease_lost = (gearman_front.refuse_waiting if config.fronts.address.gearman
                                  else address.on_lease_lost)
         gearman_front.fence = address.fence if config.fronts.address.gearman else None
@@ -208,7 +208,7 @@
         if address is not None:
             address.node.set_ready(True)
         await stop.wait()
-        gearman_front.leave()
+        gearman_front.stop_accepting()
         peers.announce_leaving()
         if successor := bool(shared_files.others_serving_since_ns()):
             await peers.close()  # the kernel delivers a datagram to one of two sockets: leave all to the successor
--- a/gaphub/net/gearman/__init__.py
+++ b/gaphub/net/gearman/__init__.py
@@ -6,6 +6,6 @@
 
 from __future__ import annotations
 
-from .front import SESSIONS_PART, SOURCE, Gearman
+from .front import SOCKET_SHARE, SOURCE, GearmanFrontEnd
 
-__all__ = ["SESSIONS_PART", "SOURCE", "Gearman"]
+__all__ = ["SOCKET_SHARE", "SOURCE", "GearmanFrontEnd"]
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -83,7 +83,7 @@
 WORKLOAD_MOST = 64 * 1024
 NAMES_MOST = 2 * 1024  # bytes of a packet besides its workload
 SKIP_MOST = 16 * 1024 * 1024  # an oversized packet up to this is read over; past it the session ends
-SESSIONS_PART = 0.15  # of the descriptors
+SOCKET_SHARE = 0.15  # of the descriptors
 QUEUE_MOST = 4  # jobs that wait for one worker's grab; past it the worker is full
 DATA_MOST = 64 * 1024  # of partial results kept for a client that cannot take them in parts
 ACCEPT_MOST = 16  # sessions accepted in one turn of the event loop, each a descriptor until it is refused
@@ -96,7 +96,7 @@
 DRAIN_S = 30.0  # for a peer to take what it is sent
 
 
-class Gearman:
+class GearmanFrontEnd:
     """The front and the port of Gearman's workers."""
 
     def __init__(self, config: Config, core: Core, counters: Counters, store: Store,
@@ -110,7 +110,7 @@
                                    core.clock)
         self.me = config.settings.me
         self.daemons = config.settings.balancers
-        self.most = int(config.limits.sockets * SESSIONS_PART)
+        self.max_sessions = int(config.limits.sockets * SOCKET_SHARE)
         self.hold_until = core.clock.now() + self.set.keep_s * 1000.0 if self.set.hold_after_start else 0.0
         self.leaving = False
         self.fence: Fence | None = None
@@ -129,13 +129,13 @@
         self.queues = Queues(Bounds(self.set.queue_most, self.set.queue_function_most,
                                     self.set.queue_client_most, self.set.queue_bytes))
         self.schedule = Schedule(self.set.schedule_most)
-        self._out = [0] * len(config.class_names)  # jobs of the queues that the core has
+        self._dispatched = [0] * len(config.class_names)  # jobs of the queues that the core has
         self._unstarted: Counter[tuple[bytes, int]] = Counter()  # drawn jobs that no worker has begun
         self._stirred = asyncio.Event()
         self._commands = TextCommands(core, counters, self.queues, self.schedule, self.functions, self._handlers,
                                       self._workers, self._works, self._by_unique, self._refused, shutdown)
 
-    def took_over(self) -> None:
+    def on_lease_gained(self) -> None:
         """From now on this instance holds the service address; a former holder's jobs may still run."""
         longest = [c.deadline_ms for c in self.core.settings.classes if c.effect != Effect.SAFE]
         self.hold_until = max(self.hold_until, self.core.clock.now() + max(longest, default=0.0))
@@ -224,7 +224,7 @@
         session = Session(self._serial, reader, writer)
         self._handlers[task] = session
         try:
-            if len(self._handlers) <= self.most:
+            if len(self._handlers) <= self.max_sessions:
                 self.counters.add("connections.gearman")
                 await self._read(session)
             else:
@@ -308,7 +308,7 @@
                 self.queues.remove(work.waiting)
                 work.waiting = None
                 continue
-            self._out[work.job.class_index] -= 1
+            self._dispatched[work.job.class_index] -= 1
             self._starts(work)
             await self.core.post(partial(self.core.client_gone, work.job))
         session.waits_for.clear()
@@ -460,7 +460,7 @@
             self.counters.add("gearman.expired")
             waiting.item.waiting = None
             self._refused(waiting.item)
-        for class_index, out in enumerate(self._out):
+        for class_index, out in enumerate(self._dispatched):
             room = self.set.per_worker * self.core.count_eligible(class_index) - out
             while room > 0 and self.core.can_accept() and (next_ := self.queues.draw(class_index)) is not None:
                 room -= 1
@@ -476,7 +476,7 @@
             # Guards against jobs turned away for having waited: the Balancer takes a request with less left
             # than usual for a late one.  Waiting here is what a queue is for; the core ends it in time.
             work.job.balancer_budget_ms = cls.deadline_ms
-        self._out[work.job.class_index] += 1
+        self._dispatched[work.job.class_index] += 1
         self._unstarted[(work.function, work.priority)] += 1
         self.core.offer(work.job)
 
@@ -492,7 +492,7 @@
         """What ``gaphub status`` shows of the queues."""
         return {"waiting": self.queues.count, "bytes": self.queues.bytes, "scheduled": len(self.schedule),
                 "oldest_ms": round(self.queues.oldest_ms(self.core.clock.now()), 1),
-                "refused": self.queues.refused, "out": sum(self._out)}
+                "refused": self.queues.refused, "out": sum(self._dispatched)}
 
     def refuse_waiting(self) -> None:
         """End all that waits: this daemon will not serve it, and none of it ran."""
@@ -502,7 +502,7 @@
         for work in self.schedule.clear():
             self._refused(work)
 
-    def leave(self) -> None:
+    def stop_accepting(self) -> None:
         """Take nothing new, and end what waits."""
         self.leaving = True
         self.refuse_waiting()
@@ -570,7 +570,7 @@
         key = (work.function, work.unique)
         assert work.job is not None
         if drawn:
-            self._out[work.job.class_index] -= 1
+            self._dispatched[work.job.class_index] -= 1
             self._starts(work)
         if work.unique:
             never_twice = self._never_twice(work.job.class_index)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from gaphub.lab.answers import Answers
 from gaphub.messages import Call
 from gaphub.net import destinations, http
-from gaphub.net.gearman import Gearman
+from gaphub.net.gearman import GearmanFrontEnd
 
 from .scenario import CLASSES, SETTINGS, Cast, free_port, play
 from .test_gearman import FRONTS, WORKER
@@ -221,7 +221,7 @@
                     await asyncio.sleep(0.01)
             held[0]()
             front = cores[0].ports["gearman"]
-            assert isinstance(front, Gearman) and front._out == [0, 0] and not front._unstarted
+            assert isinstance(front, GearmanFrontEnd) and front._dispatched == [0, 0] and not front._unstarted
             assert not front._works and not front._by_unique
 
     asyncio.run(run())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,7 +27,7 @@
 from gaphub.clock import Clock
 from gaphub.lab.world import Workers
 from gaphub.metrics import Counters
-from gaphub.net.gearman import Gearman
+from gaphub.net.gearman import GearmanFrontEnd
 from gaphub.net.http import OUTBOUND_SOCKET_SHARE, Connection, Inbound, Pool, Pools
 from gaphub.net.ops import OpsServer
 
@@ -253,7 +253,7 @@
     record_limit(Pools, "free_sockets")
     record_limit(OpsServer, "max_connections")
     if fronts:
-        record_limit(Gearman, "most")
+        record_limit(GearmanFrontEnd, "max_sessions")
 
     async def play() -> None:
         async with Cast(admin=f"127.0.0.1:{free_port()}", fronts=fronts, limits={"sockets": LIMIT}):
