--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -122,7 +122,7 @@
         self._tasks = Tasks(counters)
         self._handlers: dict[asyncio.Task[None], Session] = {}
         self._workers: dict[str, Session] = {}
-        self._works: dict[bytes, Work] = {}  # by handle, while they run
+        self._submissions: dict[bytes, Work] = {}  # by handle, while they run
         self._by_unique: dict[tuple[bytes, bytes], Work] = {}
         self._ends = Ends(self.set.ends_most, self.set.ends_bytes, lambda function: not self._never_twice(
             self.functions.class_of(function) or 0))
@@ -133,7 +133,7 @@
         self._unstarted: Counter[tuple[bytes, int]] = Counter()  # drawn jobs that no worker has begun
         self._stirred = asyncio.Event()
         self._commands = TextCommands(core, counters, self.queues, self.schedule, self.functions, self._handlers,
-                                      self._workers, self._works, self._by_unique, self._refused, shutdown)
+                                      self._workers, self._submissions, self._by_unique, self._refused, shutdown)
 
     def on_lease_gained(self) -> None:
         """From now on this instance holds the service address; a former holder's jobs may still run."""
@@ -301,7 +301,7 @@
                 continue
             self.counters.add("gearman.client_gone")
             work.left_at = self.core.clock.now()
-            self._works.pop(work.handle, None)
+            self._submissions.pop(work.handle, None)
             if work.unique:
                 self._unclaim(work)
             if work.waiting is not None:
@@ -349,7 +349,7 @@
         elif kind in (CAN_DO, CAN_DO_TIMEOUT, CANT_DO, RESET_ABILITIES):
             await self._abilities(session, kind, arguments)
         elif kind == GET_STATUS:
-            work = self._works.get(arguments[0])
+            work = self._submissions.get(arguments[0])
             session.send(STATUS_RES, arguments[0], *_status(work))
         elif kind == GET_STATUS_UNIQUE:
             found = [w for (_, unique), w in self._by_unique.items() if unique == arguments[0]]
@@ -417,7 +417,7 @@
             raise PacketError("schedule_full", "refused; it did not run")
         else:
             work.client, work.size = session.number, size
-        self._works[work.handle] = work
+        self._submissions[work.handle] = work
         if unique:
             self._by_unique[key] = work
             if self._never_twice(class_index):
@@ -566,7 +566,7 @@
             # Guards against an answer that is on its way as the last client leaves: what the job held was given
             # back then, and its unique may be another job's by now.
             return
-        self._works.pop(work.handle, None)
+        self._submissions.pop(work.handle, None)
         key = (work.function, work.unique)
         assert work.job is not None
         if drawn:
