--- a/gaphub/gearman/__init__.py
+++ b/gaphub/gearman/__init__.py
@@ -1,1 +1,1 @@
-"""The Gearman protocol's own decisions: queues that hold jobs before the core takes them."""
+"""The parts of the Gearman protocol that do no input or output: packets, job queues, schedules, TLS contexts."""
--- a/gaphub/gearman/codec.py
+++ b/gaphub/gearman/codec.py
@@ -1,7 +1,7 @@
-"""Owns the form of Gearman's binary packets: numbers, arguments, heads.  Pure.
+"""The binary packets of the Gearman protocol: types, headers and arguments.  Pure functions.
 
-From the protocol's published description (gearman.org/protocol): a magic of four bytes, a type and a size in
-network order, then arguments that NUL separates, the last of which may hold any bytes.
+Format, after the published description of the protocol (gearman.org/protocol): a magic of four bytes, type and
+size in network byte order, then arguments separated by NUL, the last of which may contain any bytes.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
  SUBMIT_JOB_LOW_BG, SUBMIT_JOB_SCHED, SUBMIT_JOB_EPOCH, SUBMIT_REDUCE_JOB, SUBMIT_REDUCE_JOB_BG,
  GRAB_JOB_ALL, JOB_ASSIGN_ALL, GET_STATUS_UNIQUE, STATUS_RES_UNIQUE) = range(1, 43)
 
-# Submits: priority (0 is served first) and whether the client waits for the end.
-SUBMITS = {SUBMIT_JOB_HIGH: (0, True), SUBMIT_JOB: (1, True), SUBMIT_JOB_LOW: (2, True),
+# For each submit packet: the priority (0 is served first) and whether the client waits for the result.
+SUBMIT_KINDS = {SUBMIT_JOB_HIGH: (0, True), SUBMIT_JOB: (1, True), SUBMIT_JOB_LOW: (2, True),
            SUBMIT_JOB_HIGH_BG: (0, False), SUBMIT_JOB_BG: (1, False), SUBMIT_JOB_LOW_BG: (2, False),
            SUBMIT_JOB_SCHED: (1, False), SUBMIT_JOB_EPOCH: (1, False),
            SUBMIT_REDUCE_JOB: (1, True), SUBMIT_REDUCE_JOB_BG: (1, False)}
-# How many arguments a packet has.
-ARGUMENTS = {
+# The number of arguments of each request packet.
+ARGUMENT_COUNTS = {
     CAN_DO: 1, CANT_DO: 1, RESET_ABILITIES: 0, PRE_SLEEP: 0, GRAB_JOB: 0, GRAB_JOB_UNIQ: 0, GRAB_JOB_ALL: 0,
     WORK_STATUS: 3, WORK_COMPLETE: 2, WORK_FAIL: 1, GET_STATUS: 1, GET_STATUS_UNIQUE: 1, ECHO_REQ: 1,
     SET_CLIENT_ID: 1, CAN_DO_TIMEOUT: 2, ALL_YOURS: 0, WORK_EXCEPTION: 2, OPTION_REQ: 1, WORK_DATA: 2,
-    WORK_WARNING: 2, **dict.fromkeys(SUBMITS, 3), SUBMIT_JOB_SCHED: 8, SUBMIT_JOB_EPOCH: 4,
+    WORK_WARNING: 2, **dict.fromkeys(SUBMIT_KINDS, 3), SUBMIT_JOB_SCHED: 8, SUBMIT_JOB_EPOCH: 4,
     SUBMIT_REDUCE_JOB: 4, SUBMIT_REDUCE_JOB_BG: 4,
 }
-NEWS = {WORK_STATUS: "status", WORK_DATA: "data", WORK_WARNING: "warning", WORK_EXCEPTION: "exception"}
+WORK_UPDATES = {WORK_STATUS: "status", WORK_DATA: "data", WORK_WARNING: "warning", WORK_EXCEPTION: "exception"}
 HEADER = struct.Struct(">4sII")
 REQUEST, RESPONSE = b"\0REQ", b"\0RES"
 
 
 class PacketError(Exception):
-    """A packet that is answered with ERROR and dropped."""
+    """A packet that is answered with ERROR and otherwise ignored."""
 
-    def __init__(self, code: str, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, code: str, message: str) -> None:
+        super().__init__(message)
         self.code = code
 
 
 def pack(kind: int, *arguments: bytes, magic: bytes = RESPONSE) -> bytes:
-    """A packet."""
+    """Encode a packet."""
     body = b"\0".join(arguments)
     return HEADER.pack(magic, kind, len(body)) + body
 
 
-def split(kind: int, data: bytes) -> list[bytes]:
-    """The arguments of a request; PacketError where the type is unknown or they are too few."""
-    count = ARGUMENTS.get(kind)
-    if count is None:
+def split_arguments(kind: int, data: bytes) -> list[bytes]:
+    """The arguments of a request; PacketError if its type is unknown or their number is wrong."""
+    expected = ARGUMENT_COUNTS.get(kind)
+    if expected is None:
         raise PacketError("unknown_command", f"unknown packet type {kind}")
-    arguments = data.split(b"\0", count - 1) if count else []
-    if len(arguments) != count or (not count and data):
-        raise PacketError("invalid_packet", f"{len(arguments)} arguments instead of {count}")
+    arguments = data.split(b"\0", expected - 1) if expected else []
+    if len(arguments) != expected or (not expected and data):
+        raise PacketError("invalid_packet", f"{len(arguments)} arguments instead of {expected}")
     return arguments
--- a/gaphub/gearman/queues.py
+++ b/gaphub/gearman/queues.py
@@ -1,16 +1,17 @@
-"""Owns the jobs that wait before the core: who is admitted, who comes next, and who has waited too long.
+"""Queues of jobs that wait until the core can take them: admission, order and expiry.
 
-Pure: it opens nothing, reads no clock and draws nothing at random; times are handed in, in milliseconds.  It
-must never hold a job that the core has been offered: what the policy gives up is answered at once, and waiting
-comes before its offer, never after.
+Opens no sockets and files, reads no clock and uses no randomness; times are passed in, in milliseconds.  A job
+must not stay here once it has been offered to the core: jobs wait before they are offered, never after, and what
+the Balancer gives up is answered at once.
 
-Order, within one class: by priority, but every ``AGEING``-th draw goes to the oldest job of a lower one, so that
-a steady stream of high ones starves nobody.  Within a priority, clients take turns (round robin by client, first
-come first served within one), so that one client's flood delays another's jobs by one job a turn, no more.
+Order within a class: by priority, with ageing.  Every ``AGEING_INTERVAL``-th job that is dequeued is the oldest
+one of the class, whatever its priority, so that a steady stream of high-priority jobs cannot starve the others.
+Within a priority, clients are served round robin and each client's jobs first in, first out, so that a client
+that submits many jobs delays another client's jobs by at most one job per round.
 
-Bound, for a job of any priority that is the oldest of its class: it is drawn within ``AGEING`` draws of that
-class.  For one of the same priority as all others, with k clients waiting and j of its own client's jobs before
-it: within ``k * (j + 1)`` draws.
+Bounds: the oldest job of a class, whatever its priority, is dequeued within ``AGEING_INTERVAL`` dequeues of that
+class.  If all jobs have the same priority, k clients have jobs queued and j jobs of the same client are ahead, a
+job is dequeued within ``k * (j + 1)`` dequeues.
 """
 
 from __future__ import annotations
@@ -21,24 +22,25 @@
 from heapq import heapify, heappop, heappush
 from typing import Any
 
-PRIORITIES = 3  # 0 high, 1 normal, 2 low
-AGEING = 8  # draws; one of so many goes to the oldest
-OVERHEAD = 1400  # bytes that a waiting job takes besides its workload and names; ``gaphub lab gearman`` measures
+PRIORITY_COUNT = 3  # 0: high, 1: normal, 2: low
+AGEING_INTERVAL = 8  # one in so many dequeued jobs is the oldest of its class
+# Memory that a queued job takes besides its workload and names; measured by ``gaphub lab gearman``.
+JOB_OVERHEAD_BYTES = 1400
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How many jobs, and bytes of them, may wait; 0 of anything: none."""
+    """Limits on the queued jobs, by number and by size; with a limit of 0, none may be queued."""
 
     jobs: int = 200_000
-    jobs_function: int = 200_000
-    jobs_client: int = 100_000
+    jobs_per_function: int = 200_000
+    jobs_per_client: int = 100_000
     total_bytes: int = 300_000_000
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
-    """One waiting job.  ``item`` is the front's own record of it."""
+class QueuedJob:
+    """A queued job.  ``item`` is the caller's own record of it."""
 
     item: Any
     class_index: int
@@ -46,125 +48,129 @@
     client: Hashable
     priority: int
     size: int
-    since: float
-    expires: float  # ms; when its client gives up, or its life is over
-    number: int = 0
-    gone: bool = False  # left, drawn or expired: skipped where it still stands
+    queued_at: float
+    expires_at: float  # when its client's deadline, or the lifetime of a background job, ends
+    serial: int = 0
+    removed: bool = False  # or dequeued or expired; entries that still refer to it are skipped
 
 
-class _Lane:
-    """The jobs of one class and priority: a queue for each client, and whose turn it is."""
+class _PriorityLevel:
+    """The jobs of one class and priority: a queue per client, in round-robin order."""
 
-    __slots__ = ("priority", "clients")
+    __slots__ = ("priority", "by_client")
 
     def __init__(self, priority: int) -> None:
         self.priority = priority
-        self.clients: OrderedDict[Hashable, deque[Waiting]] = OrderedDict()
+        self.by_client: OrderedDict[Hashable, deque[QueuedJob]] = OrderedDict()
 
-    def put(self, job: Waiting) -> None:
-        self.clients.setdefault(job.client, deque()).append(job)
+    def put(self, job: QueuedJob) -> None:
+        self.by_client.setdefault(job.client, deque()).append(job)
 
-    def is_past(self, job: Waiting) -> bool:
-        """Whether a job left, or moved to another lane."""
-        return job.gone or job.priority != self.priority
+    def has_left(self, job: QueuedJob) -> bool:
+        """Whether a job was removed or moved to another priority."""
+        return job.removed or job.priority != self.priority
 
-    def take(self) -> Waiting | None:
-        """The next in turn; its client goes to the end of the row."""
-        while self.clients:
-            client, jobs = next(iter(self.clients.items()))
-            while jobs and self.is_past(jobs[0]):
+    def take_next(self) -> QueuedJob | None:
+        """The next job in round-robin order; its client goes to the end of the order."""
+        while self.by_client:
+            client, jobs = next(iter(self.by_client.items()))
+            while jobs and self.has_left(jobs[0]):
                 jobs.popleft()
             if not jobs:
-                del self.clients[client]
+                del self.by_client[client]
                 continue
             job = jobs.popleft()
             if jobs:
-                self.clients.move_to_end(client)
+                self.by_client.move_to_end(client)
             else:
-                del self.clients[client]
+                del self.by_client[client]
             return job
         return None
 
 
 @dataclass
-class _Class:
-    """What waits of one class."""
+class _ClassQueue:
+    """The queued jobs of one class."""
 
-    lanes: list[_Lane] = field(default_factory=lambda: [_Lane(p) for p in range(PRIORITIES)])
-    counts: list[int] = field(default_factory=lambda: [0] * PRIORITIES)
-    by_age: deque[Waiting] = field(default_factory=deque)
-    draws: int = 0
+    levels: list[_PriorityLevel] = field(
+        default_factory=lambda: [_PriorityLevel(p) for p in range(PRIORITY_COUNT)])
+    counts: list[int] = field(default_factory=lambda: [0] * PRIORITY_COUNT)
+    by_age: deque[QueuedJob] = field(default_factory=deque)
+    dequeued: int = 0
 
 
 class Queues:
-    """The waiting jobs of one daemon."""
+    """The queued jobs of one scheduler."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.bytes = 0
         self.count = 0
         self.refused = 0
-        self._serial = 0
-        self._classes: dict[int, _Class] = {}
+        self._last_serial = 0
+        self._classes: dict[int, _ClassQueue] = {}
         self._functions: dict[bytes, list[int]] = {}
         self._clients: dict[Hashable, int] = {}
-        self._most: dict[bytes, list[int]] = {}  # ``maxqueue``: by function, for each priority; 0: no bound
-        self._expiry: list[tuple[float, int, Waiting]] = []
+        self._function_limits: dict[bytes, list[int]] = {}  # ``maxqueue``: by priority; 0: no limit
+        self._expiry_heap: list[tuple[float, int, QueuedJob]] = []
 
     # -- admission --
 
-    def limit(self, function: bytes, most: list[int]) -> None:
-        """``maxqueue``: one number for all priorities, or one for each; none: no bound of its own."""
-        if not most:
-            self._most.pop(function, None)
+    def set_function_limits(self, function: bytes, limits: list[int]) -> None:
+        """``maxqueue``: one limit for all priorities or one for each; an empty list removes the limits."""
+        if not limits:
+            self._function_limits.pop(function, None)
         else:
-            self._most[function] = (most * PRIORITIES if len(most) == 1 else [*most, 0, 0])[:PRIORITIES]
+            self._function_limits[function] = (
+                limits * PRIORITY_COUNT if len(limits) == 1 else [*limits, 0, 0])[:PRIORITY_COUNT]
 
-    def why_not(self, function: bytes, client: Hashable, priority: int, size: int, drawn: int = 0) -> str:
-        """The word under which a job is turned away; empty: it may wait.
+    def refusal_reason(self, function: bytes, client: Hashable, priority: int, size: int,
+                       dispatched: int = 0) -> str:
+        """The error code with which a job is refused; empty: it may be queued.
 
-        ``drawn``: jobs of that function and priority that were drawn and no worker has begun; ``maxqueue``
-        counts them too.
+        ``dispatched``: jobs of that function and priority that were dequeued and that no worker has started;
+        ``maxqueue`` counts them as well.
         """
-        counts = self._functions.get(function, [0] * PRIORITIES)
-        most = self._most.get(function, [0] * PRIORITIES)[priority]
-        if most and counts[priority] + drawn >= most:
+        counts = self._functions.get(function, [0] * PRIORITY_COUNT)
+        limit = self._function_limits.get(function, [0] * PRIORITY_COUNT)[priority]
+        if limit and counts[priority] + dispatched >= limit:
             return "queue_full"
-        if sum(counts) >= self.bounds.jobs_function:
+        if sum(counts) >= self.bounds.jobs_per_function:
             return "function_queue_full"
-        if self._clients.get(client, 0) >= self.bounds.jobs_client:
+        if self._clients.get(client, 0) >= self.bounds.jobs_per_client:
             return "client_queue_full"
-        if self.count >= self.bounds.jobs or self.bytes + size + OVERHEAD > self.bounds.total_bytes:
+        if self.count >= self.bounds.jobs or self.bytes + size + JOB_OVERHEAD_BYTES > self.bounds.total_bytes:
             return "queues_full"
         return ""
 
     def put(self, item: Any, class_index: int, function: bytes, client: Hashable, priority: int, size: int,
-            now: float, expires: float) -> Waiting | str:
-        """Let a job wait; the word that refuses it where there is no room."""
-        why = self.why_not(function, client, priority, size)
-        if why:
+            now: float, expires_at: float) -> QueuedJob | str:
+        """Queue a job; returns the error code if there is no room for it."""
+        reason = self.refusal_reason(function, client, priority, size)
+        if reason:
             self.refused += 1
-            return why
-        self._serial += 1
-        job = Waiting(item, class_index, function, client, priority, size + OVERHEAD, now, expires, self._serial)
-        kept = self._classes.setdefault(class_index, _Class())
-        kept.lanes[priority].put(job)
-        kept.counts[priority] += 1
-        kept.by_age.append(job)
-        heappush(self._expiry, (expires, job.number, job))
-        self._functions.setdefault(function, [0] * PRIORITIES)[priority] += 1
+            return reason
+        self._last_serial += 1
+        job = QueuedJob(item, class_index, function, client, priority, size + JOB_OVERHEAD_BYTES, now, expires_at,
+                        self._last_serial)
+        class_queue = self._classes.setdefault(class_index, _ClassQueue())
+        class_queue.levels[priority].put(job)
+        class_queue.counts[priority] += 1
+        class_queue.by_age.append(job)
+        heappush(self._expiry_heap, (expires_at, job.serial, job))
+        self._functions.setdefault(function, [0] * PRIORITY_COUNT)[priority] += 1
         self._clients[client] = self._clients.get(client, 0) + 1
         self.count += 1
         self.bytes += job.size
         return job
 
-    # -- leaving --
+    # -- removal --
 
-    def remove(self, job: Waiting) -> bool:
-        """Take a job out, wherever it stands; False if it waits no more."""
-        if job.gone:
+    def remove(self, job: QueuedJob) -> bool:
+        """Remove a job; False if it is no longer queued."""
+        if job.removed:
             return False
-        job.gone = True
+        job.removed = True
         self._classes[job.class_index].counts[job.priority] -= 1
         counts = self._functions[job.function]
         counts[job.priority] -= 1
@@ -175,98 +181,98 @@
             del self._clients[job.client]
         self.count -= 1
         self.bytes -= job.size
-        self._sweep()
+        self._compact()
         return True
 
-    def draw(self, class_index: int) -> Waiting | None:
-        """The next job of a class; None if none waits."""
-        kept = self._classes.get(class_index)
-        if kept is None or not any(kept.counts):
+    def dequeue(self, class_index: int) -> QueuedJob | None:
+        """Remove and return the next job of a class; None if there is none."""
+        class_queue = self._classes.get(class_index)
+        if class_queue is None or not any(class_queue.counts):
             return None
-        kept.draws += 1
-        while kept.by_age and kept.by_age[0].gone:
-            kept.by_age.popleft()
-        job: Waiting | None = None
-        if kept.draws % AGEING == 0:
-            job = kept.by_age[0]
+        class_queue.dequeued += 1
+        while class_queue.by_age and class_queue.by_age[0].removed:
+            class_queue.by_age.popleft()
+        job: QueuedJob | None = None
+        if class_queue.dequeued % AGEING_INTERVAL == 0:
+            job = class_queue.by_age[0]
         else:
-            for priority in range(PRIORITIES):
-                if kept.counts[priority]:
-                    job = kept.lanes[priority].take()
+            for priority in range(PRIORITY_COUNT):
+                if class_queue.counts[priority]:
+                    job = class_queue.levels[priority].take_next()
                     break
         assert job is not None
         self.remove(job)
         return job
 
-    def clear(self) -> Iterator[Waiting]:
-        """Take out and give every job."""
-        for _, _, job in list(self._expiry):
+    def clear(self) -> Iterator[QueuedJob]:
+        """Remove and yield all jobs."""
+        for _, _, job in list(self._expiry_heap):
             if self.remove(job):
                 yield job
 
-    def expired(self, now: float) -> Iterator[Waiting]:
-        """Take out and give each job whose time is over."""
-        while self._expiry and (self._expiry[0][2].gone or self._expiry[0][0] <= now):
-            job = heappop(self._expiry)[2]
-            if job.expires <= now and self.remove(job):
+    def pop_expired(self, now: float) -> Iterator[QueuedJob]:
+        """Remove and yield the jobs that have expired."""
+        while self._expiry_heap and (self._expiry_heap[0][2].removed or self._expiry_heap[0][0] <= now):
+            job = heappop(self._expiry_heap)[2]
+            if job.expires_at <= now and self.remove(job):
                 yield job
 
     def next_expiry(self) -> float:
-        """When ``expired`` is next of use."""
-        return self._expiry[0][0] if self._expiry else 1e18
+        """The earliest time at which ``pop_expired`` may yield a job."""
+        return self._expiry_heap[0][0] if self._expiry_heap else 1e18
 
-    def move(self, job: Waiting, priority: int, expires: float) -> None:
-        """A joiner of higher priority, or one that waits longer, changes a waiting job; never for the worse."""
-        if job.gone:
+    def upgrade(self, job: QueuedJob, priority: int, expires_at: float) -> None:
+        """Raise a job's priority or expiry to that of a client that submitted it again; never lowers them."""
+        if job.removed:
             return
-        if expires > job.expires:
-            job.expires = expires
-            heappush(self._expiry, (expires, job.number, job))  # the earlier entry is skipped when it comes
+        if expires_at > job.expires_at:
+            job.expires_at = expires_at
+            heappush(self._expiry_heap, (expires_at, job.serial, job))  # the earlier entry is skipped on expiry
         if priority < job.priority:
-            kept = self._classes[job.class_index]
-            for counts in (kept.counts, self._functions[job.function]):
+            class_queue = self._classes[job.class_index]
+            for counts in (class_queue.counts, self._functions[job.function]):
                 counts[job.priority] -= 1
                 counts[priority] += 1
             job.priority = priority
-            kept.lanes[priority].put(job)
-
-    def _sweep(self) -> None:
-        """Forget what left, where much of it stands: memory follows the jobs that wait."""
-        if len(self._expiry) > 2 * self.count + 64:
-            self._expiry = [e for e in self._expiry if not e[2].gone]
-            heapify(self._expiry)
-        for kept in self._classes.values():
-            if len(kept.by_age) > 2 * sum(kept.counts) + 64:
-                kept.by_age = deque(j for j in kept.by_age if not j.gone)
-                for lane in kept.lanes:
-                    for client in list(lane.clients):
-                        jobs = deque(j for j in lane.clients[client] if not lane.is_past(j))
+            class_queue.levels[priority].put(job)
+
+    def _compact(self) -> None:
+        """Drop entries of removed jobs once they outnumber the queued ones, to keep memory use bounded."""
+        if len(self._expiry_heap) > 2 * self.count + 64:
+            self._expiry_heap = [e for e in self._expiry_heap if not e[2].removed]
+            heapify(self._expiry_heap)
+        for class_queue in self._classes.values():
+            if len(class_queue.by_age) > 2 * sum(class_queue.counts) + 64:
+                class_queue.by_age = deque(j for j in class_queue.by_age if not j.removed)
+                for level in class_queue.levels:
+                    for client in list(level.by_client):
+                        jobs = deque(j for j in level.by_client[client] if not level.has_left(j))
                         if jobs:
-                            lane.clients[client] = jobs
+                            level.by_client[client] = jobs
                         else:
-                            del lane.clients[client]
+                            del level.by_client[client]
 
-    # -- what is seen --
+    # -- statistics --
 
-    def waiting(self, function: bytes) -> list[int]:
-        """How many wait of a function, by priority."""
-        return list(self._functions.get(function, [0] * PRIORITIES))
+    def counts_by_priority(self, function: bytes) -> list[int]:
+        """The numbers of queued jobs of a function, by priority."""
+        return list(self._functions.get(function, [0] * PRIORITY_COUNT))
 
     def functions(self) -> list[bytes]:
-        """The functions of which any job waits."""
+        """The functions that have queued jobs."""
         return list(self._functions)
 
-    def of_class(self, class_index: int) -> int:
-        """How many wait of a class."""
-        kept = self._classes.get(class_index)
-        return sum(kept.counts) if kept is not None else 0
+    def count_of_class(self, class_index: int) -> int:
+        """The number of queued jobs of a class."""
+        class_queue = self._classes.get(class_index)
+        return sum(class_queue.counts) if class_queue is not None else 0
 
     def oldest_ms(self, now: float) -> float:
-        """How long the oldest job has waited; 0 if none waits."""
+        """How long the oldest job has been queued; 0 if there is none."""
         ages = []
-        for kept in self._classes.values():
-            while kept.by_age and kept.by_age[0].gone:
-                kept.by_age.popleft()
-            if kept.by_age:
-                ages.append(now - kept.by_age[0].since)
+        for class_queue in self._classes.values():
+            while class_queue.by_age and class_queue.by_age[0].removed:
+                class_queue.by_age.popleft()
+            if class_queue.by_age:
+                ages.append(now - class_queue.by_age[0].queued_at)
         return max(ages, default=0.0)
--- a/gaphub/gearman/schedule.py
+++ b/gaphub/gearman/schedule.py
@@ -1,8 +1,8 @@
-"""Owns the jobs that are to begin at a moment of the wall clock, and what such a moment is.
+"""Jobs scheduled for a wall-clock time, and the parsing of such times.
 
-Pure: the wall clock's time is handed in, in Unix seconds, and may step; what is due is asked of the time as it is
-now, so a step forward brings jobs sooner and a step back later, as their clients' own clocks would.  It must
-never give a job out twice, and never forget one that nobody took out.
+Opens nothing and reads no clock.  The wall-clock time is passed in, in Unix seconds, and may step: whether a job
+is due is decided by the time passed in each call, so a step forward makes jobs due sooner and a step back later,
+as on their clients' own clocks.  A job must never be returned twice, nor be lost unless it was removed.
 """
 
 from __future__ import annotations
@@ -14,74 +14,78 @@
 
 from .codec import PacketError
 
-AHEAD_MOST_S = 366 * 86400.0  # a moment further ahead is refused
-# The Gregorian calendar repeats itself, weekdays too, every 400 years (146,097 days, 20,871 weeks): a date and a
-# weekday that do not meet within so many years never meet.
+MAX_AHEAD_S = 366 * 86400.0  # a later time is refused
+# The Gregorian calendar, weekdays included, repeats every 400 years (146,097 days, 20,871 weeks): a date that does
+# not fall on a given weekday within that time never does.
 CYCLE_YEARS = 400
-LEAP_YEAR = 2000  # its months have as many days as they ever have
-# Minute, hour, day of the month, month, day of the week (0: Monday), as the protocol orders them.
-_RANGES = (("minute", 0, 59), ("hour", 0, 23), ("day of month", 1, 31), ("month", 1, 12), ("day of week", 0, 6))
+LEAP_YEAR = 2000  # in which each month has the most days that it can have
+# In the order of the protocol; day 0 of the week is Monday.
+_FIELD_RANGES = (("minute", 0, 59), ("hour", 0, 23), ("day of month", 1, 31), ("month", 1, 12),
+                 ("day of week", 0, 6))
 
 
-def epoch(text: bytes, now_s: float) -> float:
-    """The moment of SUBMIT_JOB_EPOCH, in Unix seconds; PacketError if it is none, or too far ahead."""
+def parse_epoch(text: bytes, now_s: float) -> float:
+    """The time in a SUBMIT_JOB_EPOCH, in Unix seconds; PacketError if it is invalid or too far ahead."""
     if not text.isdigit() or len(text) > 12:
         raise PacketError("invalid_packet", "epoch is not a number")
     moment = float(text)
-    if moment > now_s + AHEAD_MOST_S:
+    if moment > now_s + MAX_AHEAD_S:
         raise PacketError("too_far", "over a year ahead")
     return moment
 
 
-def next_moment(fields: list[bytes], now_s: float) -> float:
-    """The next moment that SUBMIT_JOB_SCHED's five fields name, in Unix seconds of UTC; an empty field means any.
+def next_occurrence(fields: list[bytes], now_s: float) -> float:
+    """The next time that matches the five fields of SUBMIT_JOB_SCHED, in Unix seconds of UTC.
 
     The fields are minute (0 to 59), hour (0 to 23), day of the month (1 to 31), month (1 to 12) and day of the
-    week (0 to 6, 0 is Monday), in the order and ranges of the Gearman protocol's description of SUBMIT_JOB_SCHED.
-    That description does not say how a day of the month and a day of the week combine when both are given.  Here
-    every field that is given must hold, so (13, any month, Friday) is a Friday the 13th.  Cron (POSIX crontab)
-    would take a day that fits either of the two; a Gearman job is one moment, not a series, and a client that
-    names both means the day that has both.  The moment is the first whole minute after ``now_s`` that fits.
-
-    Cost: the search steps over years and, within one, over the months and days that the fields leave open.  Over
-    a whole 400-year cycle, a combination that exists comes again within 8 years (29 February), or within 40 where
-    the day, the month and the weekday are all given (then one date a year is looked at).  So at most 41 dates, or
-    at most 9 years of at most 366 dates each, some 3,300 in all; the bound on the loop, 400 years, is never met.
-
-    PacketError for a field out of its range, and for a day that never comes (30 or 31 February, 31 April, June,
-    September or November), or that would come after the year 9999.
+    week (0 to 6, 0 is Monday), in the order and ranges of the Gearman protocol's description of SUBMIT_JOB_SCHED;
+    an empty field matches any value.  The description does not say how a day of the month and a day of the week
+    combine if both are given.  Here all given fields must match, so (13, any month, Friday) is a Friday the 13th.
+    Cron (POSIX crontab) would accept a day that matches either of the two; but a Gearman job runs once, not
+    periodically, and a client that gives both means the day that has both.  The result is the first whole minute
+    after ``now_s`` that matches.
+
+    Cost: the search iterates over years and, within each, over the months and days that the fields leave open.
+    Over a whole 400-year cycle, a combination that exists recurs within 8 years (29 February), or within 40 if
+    day, month and weekday are all given (then one date per year is checked).  So at most 41 dates, or at most 9
+    years of at most 366 dates each, are checked, some 3,300 in all; the loop's limit of 400 years is never
+    reached.
+
+    Raises PacketError for a field out of its range, and for a date that does not exist (30 or 31 February, 31
+    April, June, September or November) or would be after the year 9999.
     """
     values: list[int | None] = []
-    for text, (name, least, most) in zip(fields, _RANGES, strict=True):
+    for text, (name, lowest, highest) in zip(fields, _FIELD_RANGES, strict=True):
         if not text:
             values.append(None)
-        elif not text.isdigit() or len(text) > 2 or not least <= int(text) <= most:
-            raise PacketError("invalid_packet", f"{name} is not from {least} to {most}")
+        elif not text.isdigit() or len(text) > 2 or not lowest <= int(text) <= highest:
+            raise PacketError("invalid_packet", f"{name} is not from {lowest} to {highest}")
         else:
             values.append(int(text))
     minute, hour, day, month, weekday = values
     if day is not None and month is not None and day > calendar.monthrange(LEAP_YEAR, month)[1]:
         raise PacketError("invalid_packet", "a day that never comes")
-    # The next whole minute: a moment that has begun is past.
+    # The next whole minute: the current one has already begun.
     first = datetime.datetime.fromtimestamp(int(now_s) // 60 * 60 + 60, datetime.UTC)
     start = first.date()
     for year in range(start.year, min(start.year + CYCLE_YEARS, datetime.MAXYEAR) + 1):
-        for in_month in range(1, 13) if month is None else (month,):
-            if (year, in_month) < (start.year, start.month):
+        for month_number in range(1, 13) if month is None else (month,):
+            if (year, month_number) < (start.year, start.month):
                 continue
-            last = calendar.monthrange(year, in_month)[1]
-            for in_day in range(1, last + 1) if day is None else (day,) if day <= last else ():
-                date = datetime.date(year, in_month, in_day)
+            last = calendar.monthrange(year, month_number)[1]
+            for day_number in range(1, last + 1) if day is None else (day,) if day <= last else ():
+                date = datetime.date(year, month_number, day_number)
                 if date < start or weekday not in (None, date.weekday()):
                     continue
-                found = _within(first if date == start else None, minute, hour)
+                found = _first_time_in_day(first if date == start else None, minute, hour)
                 if found is not None:
                     return datetime.datetime.combine(date, datetime.time(*found), datetime.UTC).timestamp()
     raise PacketError("invalid_packet", "a day that never comes")
 
 
-def _within(first: datetime.datetime | None, minute: int | None, hour: int | None) -> tuple[int, int] | None:
-    """The first hour and minute of a day that fit, not before ``first``; None: none is left."""
+def _first_time_in_day(first: datetime.datetime | None, minute: int | None,
+                       hour: int | None) -> tuple[int, int] | None:
+    """The first matching hour and minute of a day, not before ``first``; None if there is none."""
     for h in range(24) if hour is None else (hour,):
         for m in range(60) if minute is None else (minute,):
             if first is None or (h, m) >= (first.hour, first.minute):
@@ -90,68 +94,67 @@
 
 
 class Schedule:
-    """The jobs that are to come; bounded.
+    """A bounded set of jobs that are due at a wall-clock time.
 
-    A job waits for its moment by the wall clock; one whose moment has come and that found no room waits for a
-    span of real time.
+    A job that was due but could not be queued is retried by the monotonic clock, whatever the wall clock does.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._heap: list[tuple[float, int, Any]] = []
+    def __init__(self, max_jobs: int) -> None:
+        self.max_jobs = max_jobs
+        self._by_wall_clock: list[tuple[float, int, Any]] = []
         self._retries: list[tuple[float, int, Any]] = []  # by the monotonic clock
-        self._live: dict[int, float] = {}  # when each is due, by the id of its entry
-        self._numbers: dict[int, int] = {}
-        self._serial = 0
+        self._due_by_serial: dict[int, float] = {}
+        self._serial_by_id: dict[int, int] = {}
+        self._last_serial = 0
 
     def __len__(self) -> int:
-        return len(self._live)
+        return len(self._due_by_serial)
 
     def put(self, item: Any, due_s: float) -> bool:
-        """Keep a job until its moment; False if there is no room."""
-        if len(self._live) >= self.most:
+        """Schedule a job; False if there is no room."""
+        if len(self._due_by_serial) >= self.max_jobs:
             return False
-        self._push(self._heap, item, due_s)
+        self._push(self._by_wall_clock, item, due_s)
         return True
 
     def retry(self, item: Any, at_ms: float) -> None:
-        """Keep a job that ``due`` gave and that found no room, until a moment of the monotonic clock."""
+        """Schedule a job that ``pop_due`` returned once more, for a time of the monotonic clock."""
         self._push(self._retries, item, at_ms)
 
     def _push(self, heap: list[tuple[float, int, Any]], item: Any, at: float) -> None:
-        self._serial += 1
-        self._live[self._serial] = at
-        self._numbers[id(item)] = self._serial
-        heappush(heap, (at, self._serial, item))
+        self._last_serial += 1
+        self._due_by_serial[self._last_serial] = at
+        self._serial_by_id[id(item)] = self._last_serial
+        heappush(heap, (at, self._last_serial, item))
 
     def remove(self, item: Any) -> bool:
-        """Take a job out before its moment; False if it is not here."""
-        number = self._numbers.pop(id(item), 0)
-        if not number:
+        """Remove a job before it is due; False if it is not scheduled."""
+        serial = self._serial_by_id.pop(id(item), 0)
+        if not serial:
             return False
-        del self._live[number]
-        for heap in (self._heap, self._retries):
-            if len(heap) > 2 * len(self._live) + 64:
-                heap[:] = [e for e in heap if e[1] in self._live]
+        del self._due_by_serial[serial]
+        for heap in (self._by_wall_clock, self._retries):
+            if len(heap) > 2 * len(self._due_by_serial) + 64:
+                heap[:] = [e for e in heap if e[1] in self._due_by_serial]
                 heapify(heap)
         return True
 
-    def due(self, now_s: float, now_ms: float = 0.0) -> list[Any]:
-        """Take out all whose moment has come, the earliest first, and then those that are to try again.
+    def pop_due(self, now_s: float, now_ms: float = 0.0) -> list[Any]:
+        """Remove and return the jobs that are due, earliest first, followed by those to be retried.
 
-        ``now_s``: by the wall clock; ``now_ms``: by the monotonic one, as for ``retry``.
+        ``now_s``: the wall-clock time; ``now_ms``: the time of the monotonic clock, as for ``retry``.
         """
-        return [*self._pop(self._heap, now_s), *self._pop(self._retries, now_ms)]
+        return [*self._pop(self._by_wall_clock, now_s), *self._pop(self._retries, now_ms)]
 
     def _pop(self, heap: list[tuple[float, int, Any]], now: float) -> list[Any]:
         found = []
-        while heap and (heap[0][0] <= now or heap[0][1] not in self._live):
-            _, number, item = heappop(heap)
-            if self._live.pop(number, None) is not None:
-                del self._numbers[id(item)]
+        while heap and (heap[0][0] <= now or heap[0][1] not in self._due_by_serial):
+            _, serial, item = heappop(heap)
+            if self._due_by_serial.pop(serial, None) is not None:
+                del self._serial_by_id[id(item)]
                 found.append(item)
         return found
 
     def clear(self) -> list[Any]:
-        """Take out all."""
-        return self.due(float("inf"), float("inf"))
+        """Remove and return all jobs."""
+        return self.pop_due(float("inf"), float("inf"))
--- a/gaphub/gearman/tls.py
+++ b/gaphub/gearman/tls.py
@@ -1,7 +1,7 @@
-"""Owns the TLS contexts of the Gearman front, and the making of certificates to try it with.
+"""TLS contexts of the Gearman front end, and the generation of certificates to try it with.
 
-A context is made whole from files or not at all; a key file that others may read is refused, and no key's text
-ever reaches a message.
+A context is built completely or not at all.  A key file that others may read is rejected, and the text of a key
+never appears in a message.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
     from cryptography.hazmat.primitives.asymmetric.ec import EllipticCurvePrivateKey
     from cryptography.x509 import Certificate, GeneralName
 
-MINIMUM = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-VALID_DAYS = 30
+MINIMUM_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
+CERTIFICATE_DAYS = 30
 
 
-def context(front: GearmanConfig) -> ssl.SSLContext | None:
-    """What the front's files say; None where TLS is off; ConfigError names the key that is at fault."""
-    if not front.tls_cert:
+def server_context(config: GearmanConfig) -> ssl.SSLContext | None:
+    """The context for the configured files; None if TLS is off.  ConfigError names the faulty setting."""
+    if not config.tls_cert:
         return None
-    _private(front.tls_key, "gearman.tls_key")
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.minimum_version = MINIMUM[front.tls_minimum]
-    made.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
+    _check_private(config.tls_key, "gearman.tls_key")
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    context.minimum_version = MINIMUM_VERSIONS[config.tls_minimum]
+    context.options |= ssl.OP_NO_COMPRESSION | ssl.OP_NO_RENEGOTIATION
     try:
-        made.load_cert_chain(front.tls_cert, front.tls_key)
+        context.load_cert_chain(config.tls_cert, config.tls_key)
     except (OSError, ssl.SSLError) as error:
-        raise ConfigError(f"gearman.tls_cert: {front.tls_cert}: {_why(error)}") from None
-    if front.tls_ca:
+        raise ConfigError(f"gearman.tls_cert: {config.tls_cert}: {_error_reason(error)}") from None
+    if config.tls_ca:
         try:
-            made.load_verify_locations(front.tls_ca)
+            context.load_verify_locations(config.tls_ca)
         except (OSError, ssl.SSLError) as error:
-            raise ConfigError(f"gearman.tls_ca: {front.tls_ca}: {_why(error)}") from None
-        made.verify_mode = ssl.CERT_REQUIRED
-    return made
+            raise ConfigError(f"gearman.tls_ca: {config.tls_ca}: {_error_reason(error)}") from None
+        context.verify_mode = ssl.CERT_REQUIRED
+    return context
 
 
-def _private(path: str, key: str) -> None:
+def _check_private(path: str, key: str) -> None:
     try:
         mode = stat.S_IMODE(os.stat(path).st_mode)
     except OSError as error:
@@ -54,28 +54,30 @@
         raise ConfigError(f"{key}: {path}: others may read it (mode {mode:04o}; make it 0600)")
 
 
-def _why(error: Exception) -> str:
+def _error_reason(error: Exception) -> str:
     reason = getattr(error, "reason", None) or getattr(error, "strerror", None)
     return str(reason or type(error).__name__)
 
 
-# --- certificates to try it with -----------------------------------------------------------------------
+# --- test certificates ---------------------------------------------------------------------------------
 
-def make_certificates(folder: Path, names: list[str], clients: list[str]) -> list[Path]:
-    """A CA, a server certificate for these host names or addresses, and one for each client; the files made.
+def make_certificates(directory: Path, names: list[str], clients: list[str]) -> list[Path]:
+    """Make a CA, a server certificate for these host names or addresses, and one per client; returns the files.
 
-    For tests and first steps: elliptic curve P-256, valid for ``VALID_DAYS``.  FileExistsError if a file is there.
+    For tests and first steps: elliptic curve P-256, valid for ``CERTIFICATE_DAYS``.  FileExistsError if a file
+    exists.
     """
     from cryptography.hazmat.primitives.asymmetric import ec
 
-    folder.mkdir(parents=True, exist_ok=True)
+    directory.mkdir(parents=True, exist_ok=True)
     ca_key = ec.generate_private_key(ec.SECP256R1())
     ca = _certificate("gaphub test CA", ca_key, None, None, [])
-    made = _write(folder, "ca", ca, ca_key)
+    paths = _write_pair(directory, "ca", ca, ca_key)
     for name, hosts in (("server", names), *((client, []) for client in clients)):
         key = ec.generate_private_key(ec.SECP256R1())
-        made += _write(folder, name, _certificate(hosts[0] if hosts else name, key, ca, ca_key, hosts), key)
-    return made
+        paths += _write_pair(directory, name, _certificate(hosts[0] if hosts else name, key, ca, ca_key, hosts),
+                             key)
+    return paths
 
 
 def _certificate(name: str, key: EllipticCurvePrivateKey, ca: Certificate | None,
@@ -89,7 +91,7 @@
     builder = (x509.CertificateBuilder().subject_name(subject).issuer_name(ca.subject if ca else subject)
                .public_key(key.public_key()).serial_number(x509.random_serial_number())
                .not_valid_before(now - datetime.timedelta(minutes=5))
-               .not_valid_after(now + datetime.timedelta(days=VALID_DAYS))
+               .not_valid_after(now + datetime.timedelta(days=CERTIFICATE_DAYS))
                .add_extension(x509.BasicConstraints(ca=ca is None, path_length=0 if ca is None else None), True)
                .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False)
                .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(
@@ -99,14 +101,14 @@
                    data_encipherment=False, key_agreement=False, key_cert_sign=ca is None, crl_sign=ca is None,
                    encipher_only=False, decipher_only=False), True))
     if hosts:
-        builder = builder.add_extension(x509.SubjectAlternativeName([_host(h) for h in hosts]), False)
+        builder = builder.add_extension(x509.SubjectAlternativeName([_general_name(h) for h in hosts]), False)
     if ca is not None:
         usage = ExtendedKeyUsageOID.SERVER_AUTH if hosts else ExtendedKeyUsageOID.CLIENT_AUTH
         builder = builder.add_extension(x509.ExtendedKeyUsage([usage]), False)
     return builder.sign(ca_key or key, hashes.SHA256())
 
 
-def _host(text: str) -> GeneralName:
+def _general_name(text: str) -> GeneralName:
     from cryptography import x509
 
     try:
@@ -115,13 +117,13 @@
         return x509.DNSName(text)
 
 
-def _write(folder: Path, name: str, certificate: Certificate, key: EllipticCurvePrivateKey) -> list[Path]:
+def _write_pair(directory: Path, name: str, certificate: Certificate, key: EllipticCurvePrivateKey) -> list[Path]:
     from cryptography.hazmat.primitives.serialization import Encoding, NoEncryption, PrivateFormat
 
-    pem, secret = folder / f"{name}.pem", folder / f"{name}.key"
-    with open(pem, "xb") as file:
+    certificate_path, key_path = directory / f"{name}.pem", directory / f"{name}.key"
+    with open(certificate_path, "xb") as file:
         file.write(certificate.public_bytes(Encoding.PEM))
-    handle = os.open(secret, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
-    with os.fdopen(handle, "wb") as file:
+    descriptor = os.open(key_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    with os.fdopen(descriptor, "wb") as file:
         file.write(key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption()))
-    return [pem, secret]
+    return [certificate_path, key_path]
--- a/gaphub/net/gearman/__init__.py
+++ b/gaphub/net/gearman/__init__.py
@@ -1,7 +1,7 @@
-"""The Gearman front: its listening socket, the sessions of clients and workers, and their jobs.
+"""The Gearman front end: its listening socket, the sessions of clients and workers, and their jobs.
 
-``front`` is the front itself and the core's port for Gearman's workers.  The protocol's packets and the queues
-are in gaphub/gearman, which opens no socket.
+``front`` contains the front end, which is also the core's port for Gearman workers.  The packet format and the
+queues are in gaphub/gearman, which opens no sockets.
 """
 
 from __future__ import annotations
--- a/gaphub/net/gearman/ends.py
+++ b/gaphub/net/gearman/ends.py
@@ -1,7 +1,4 @@
-"""Owns the record of how jobs with a unique ended, so that one submitted again is told and not run again.
-
-It must never grow past its bounds: results go first, then the ends of jobs that may run twice.
-"""
+"""The recorded result of a job; ``body`` None: dropped to free memory, or there was none."""
 
 from __future__ import annotations
 
@@ -15,57 +12,57 @@
 
 
 @dataclass(slots=True)
-class End:
-    """The recorded end of a job with a unique; ``body`` None: the result is kept no longer."""
+class JobResult:
+    """The recorded result of a job with a unique; ``body`` None: the result is kept no longer."""
 
     handle: bytes
-    ending: FinalStatus
+    final_status: FinalStatus
     body: bytes | None
-    expires: float
+    expires_at: float
 
 
-class Ends:
-    """The ends of jobs by function and unique, oldest first."""
+class ResultCache:
+    """The results of jobs by function and unique, oldest first."""
 
-    def __init__(self, most: int, bytes_most: int, may_repeat: Callable[[bytes], bool]) -> None:
-        """``may_repeat``: whether a function's jobs may run twice, so that their ends may be forgotten early."""
-        self.most = most
-        self.bytes_most = bytes_most
+    def __init__(self, max_results: int, max_bytes: int, may_repeat: Callable[[bytes], bool]) -> None:
+        """``may_repeat``: whether jobs of a function may run twice, so that their results may be dropped early."""
+        self.max_results = max_results
+        self.max_bytes = max_bytes
         self.may_repeat = may_repeat
-        self._ends: OrderedDict[Key, End] = OrderedDict()
+        self._results: OrderedDict[Key, JobResult] = OrderedDict()
         self._bytes = 0
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._results)
 
-    def get(self, key: Key) -> End | None:
-        """A job's end; it may have expired."""
-        return self._ends.get(key)
+    def get(self, key: Key) -> JobResult | None:
+        """The result of a job; it may have expired."""
+        return self._results.get(key)
 
-    def put(self, key: Key, end: End) -> None:
-        """Record an end."""
-        self._ends[key] = end
-        self._bytes += len(end.body or b"")
-        self._trim()
+    def put(self, key: Key, result: JobResult) -> None:
+        """Record a result."""
+        self._results[key] = result
+        self._bytes += len(result.body or b"")
+        self._enforce_limits()
 
     def expire(self, now: float) -> None:
-        """Forget what has expired."""
-        while self._ends and next(iter(self._ends.values())).expires <= now:
-            self._forget(next(iter(self._ends)))
-
-    def _trim(self) -> None:
-        if self._bytes > self.bytes_most:
-            for end in self._ends.values():
-                if end.body:
-                    self._bytes -= len(end.body)
-                    end.body = None
-                    if self._bytes <= self.bytes_most * 0.9:
+        """Remove the results that have expired."""
+        while self._results and next(iter(self._results.values())).expires_at <= now:
+            self._remove(next(iter(self._results)))
+
+    def _enforce_limits(self) -> None:
+        if self._bytes > self.max_bytes:
+            for result in self._results.values():
+                if result.body:
+                    self._bytes -= len(result.body)
+                    result.body = None
+                    if self._bytes <= self.max_bytes * 0.9:
                         break
-        if len(self._ends) > self.most:
-            for key in self._ends:
+        if len(self._results) > self.max_results:
+            for key in self._results:
                 if self.may_repeat(key[0]):
-                    self._forget(key)
+                    self._remove(key)
                     break
 
-    def _forget(self, key: Key) -> None:
-        self._bytes -= len(self._ends.pop(key).body or b"")
+    def _remove(self, key: Key) -> None:
+        self._bytes -= len(self._results.pop(key).body or b"")
--- a/gaphub/net/gearman/functions.py
+++ b/gaphub/net/gearman/functions.py
@@ -1,6 +1,6 @@
-"""Owns which class a function's jobs have: by the deploy file, and by what the text commands put in the store.
+"""The job class of each function, from the deploy file and from text commands, whose entries are in the store.
 
-It must never hold a job or know who can run it.
+It must never hold a job or know which workers can run it.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 from ...clock import Clock
 from ...store import Store
 
-STORED = "config/functions/"  # the store's keys for them
+STORE_KEY_PREFIX = "config/functions/"
 
 
-class Functions:
-    """The map from functions to classes; the deploy file's word is before the store's."""
+class FunctionClasses:
+    """The map from functions to classes; entries of the deploy file override those of the store."""
 
-    def __init__(self, listed: Mapping[str, str], default_class: str, class_names: Iterable[str], store: Store,
+    def __init__(self, configured: Mapping[str, str], default_class: str, class_names: Iterable[str], store: Store,
                  clock: Clock) -> None:
-        """``listed``: the deploy file's; ``default_class``: of a function that nobody names, or none."""
-        self._listed = listed
+        """``configured``: entries of the deploy file; ``default_class``: of other functions, "" for none."""
+        self._configured = configured
         self._default_class = default_class
         self._classes = {name: i for i, name in enumerate(class_names)}
         self._store = store
         self._clock = clock
 
-    def all(self) -> dict[bytes, str]:
-        """Function to class: the deploy file's, and what the store's configuration adds."""
-        found = {name.encode(): cls for name, cls in self._listed.items()}
-        for key, cls in self._store.items(STORED, self._clock.now()):
-            if cls.decode() in self._classes:
-                found[key.removeprefix(STORED).encode()] = cls.decode()
-        return found
+    def all_classes(self) -> dict[bytes, str]:
+        """All functions that have an entry, with the names of their classes."""
+        classes = {name.encode(): class_name for name, class_name in self._configured.items()}
+        for key, class_name in self._store.items(STORE_KEY_PREFIX, self._clock.now()):
+            if class_name.decode() in self._classes:
+                classes[key.removeprefix(STORE_KEY_PREFIX).encode()] = class_name.decode()
+        return classes
 
     def class_of(self, function: bytes) -> int | None:
-        """The index of a function's class; None if it has none."""
-        name = self._listed.get(function.decode("latin-1"))
+        """The class index of a function; None if it has no class."""
+        name = self._configured.get(function.decode("latin-1"))
         if name is None:
-            stored = self._store.get(STORED + function.decode("latin-1"), self._clock.now())
+            stored = self._store.get(STORE_KEY_PREFIX + function.decode("latin-1"), self._clock.now())
             name = stored.decode() if stored else self._default_class
         return self._classes.get(name)
 
@@ -46,12 +46,12 @@
         return name in self._classes
 
     def create(self, function: str, class_name: str) -> bool:
-        """Store a function's class; False if there is no room."""
-        return self._store.put(STORED + function, class_name.encode(), self._clock.now())
+        """Store the class of a function; False if the store is full."""
+        return self._store.put(STORE_KEY_PREFIX + function, class_name.encode(), self._clock.now())
 
     def drop(self, function: str) -> bool:
-        """Take a function's class from the store; False if it is not there."""
-        if self._store.get(STORED + function, self._clock.now()) is None:
+        """Delete the class of a function from the store; False if there is none."""
+        if self._store.get(STORE_KEY_PREFIX + function, self._clock.now()) is None:
             return False
-        self._store.delete(STORED + function, self._clock.now())
+        self._store.delete(STORE_KEY_PREFIX + function, self._clock.now())
         return True
--- a/gaphub/net/gearman/session.py
+++ b/gaphub/net/gearman/session.py
@@ -1,6 +1,6 @@
-"""Owns the state of one Gearman connection, and of the jobs that are submitted or grabbed on it.
+"""The state of one Gearman connection, and of the jobs submitted or grabbed on it.
 
-It must never decide what becomes of a job, nor read from the connection: the front does.
+It must never decide the outcome of a job, nor read from the connection: the front end does both.
 """
 
 from __future__ import annotations
@@ -10,44 +10,44 @@
 from dataclasses import dataclass, field
 
 from ...gearman.codec import pack
-from ...gearman.queues import Waiting
+from ...gearman.queues import QueuedJob
 from ...messages import Call, Job
 
-WRITE_MOST = 4 * 1024 * 1024  # bytes that a peer may leave unread before its session ends
+MAX_UNREAD_BYTES = 4 * 1024 * 1024  # of unread output, beyond which a session is closed
 
 
 @dataclass(slots=True, eq=False)
-class Work:
-    """A submitted job: its handle, who waits for it, and how far it is."""
+class Submission:
+    """A submitted job, the clients that wait for it, and its progress."""
 
     handle: bytes
     function: bytes
     unique: bytes
     priority: int
     background: bool
-    listeners: list[Session] = field(default_factory=list)
+    waiting_clients: list[Session] = field(default_factory=list)
     job: Job | None = None
-    waiting: Waiting | None = None  # before the core; None once it was offered
-    reducer: bytes = b""  # the function that a worker of GRAB_JOB_ALL hands its parts to
-    client: int = 0  # of a scheduled job: whose it is, and its size in the queues
-    size: int = 0
+    queue_entry: QueuedJob | None = None  # None once it was offered to the core
+    reducer: bytes = b""  # function that combines the results of its parts; sent with JOB_ASSIGN_ALL
+    client: int = 0  # of a scheduled job: the number of its client's session
+    size: int = 0  # of a scheduled job: of its names and workload
     running: bool = False
-    left_at: float = 0.0  # when the last that waited for it left before it was handed out: it is done with then
+    abandoned_at: float = 0.0  # when its last client left before it was assigned, which ends it; 0: not so
     progress: tuple[bytes, bytes] = (b"0", b"0")
 
 
 @dataclass(slots=True, eq=False)
-class Assigned:
+class Assignment:
     """A call that a worker has grabbed."""
 
-    call: Call | None  # None: called off; the worker works on, and nobody waits
-    until: float  # by the worker's own CAN_DO_TIMEOUT
-    parts: bytearray = field(default_factory=bytearray)
-    excepted: bool = False  # the worker said WORK_EXCEPTION, and nothing yet that ends the job
+    call: Call | None  # None: cancelled; the worker still runs it, but its result is ignored
+    times_out_at: float  # by the timeout that the worker gave with CAN_DO_TIMEOUT
+    partial_data: bytearray = field(default_factory=bytearray)
+    got_exception: bool = False  # the worker sent WORK_EXCEPTION and has not ended the job yet
 
 
 class Session:
-    """One connection, of a client, a worker or both; its handler task is its owner."""
+    """One connection of a client, a worker or both; its handler task owns it."""
 
     def __init__(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.number = number
@@ -55,21 +55,22 @@
         self.writer = writer
         self.name = f"w{number}"
         self.client_id = b"-"
-        self.exceptions = False
-        self.waits_for: set[Work] = set()
+        self.wants_exceptions = False
+        self.awaited_jobs: set[Submission] = set()
         self.abilities: dict[bytes, float] = {}
         self.asleep = False
-        self.told: tuple[int, int] | None = None  # what the core knows: state and abilities
-        self.queue: list[tuple[int, int, bytes, Call]] = []  # heap: priority, order, handle
-        self.assigned: dict[bytes, Assigned] = {}
-        self.excepted: OrderedDict[bytes, None] = OrderedDict()  # ended by WORK_EXCEPTION; WORK_FAIL may follow
+        self.listed_as: tuple[int, int] | None = None  # state and class mask as last told to the core
+        self.queue: list[tuple[int, int, bytes, Call]] = []  # heap: priority, order, handle, call
+        self.assignments: dict[bytes, Assignment] = {}
+        # Handles of jobs that WORK_EXCEPTION ended; WORK_FAIL may follow.
+        self.ended_by_exception: OrderedDict[bytes, None] = OrderedDict()
         self.latency_ms = 0.0
 
     def send(self, kind: int, *arguments: bytes) -> None:
-        """Write a packet; a peer that does not read loses its session instead of growing the buffer."""
+        """Write a packet; a peer that does not read is disconnected, which bounds the write buffer."""
         transport = self.writer.transport
         if transport.is_closing():
             return
         self.writer.write(pack(kind, *arguments))
-        if transport.get_write_buffer_size() > WRITE_MOST:
+        if transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             transport.abort()
--- a/gaphub/net/gearman/text.py
+++ b/gaphub/net/gearman/text.py
@@ -1,6 +1,6 @@
-"""Owns the text commands, by which an operator asks what waits and runs, and changes a few settings.
+"""The text commands, with which operators inspect queues and workers, cancel jobs and change a few settings.
 
-It must never take a job or hand one out; a job that is cancelled here has not begun.
+It must never accept or assign a job; a job that is cancelled here has not started.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 from ...gearman.queues import Queues
 from ...gearman.schedule import Schedule
 from ...metrics import Counters
-from .functions import Functions
-from .session import Session, Work
+from .functions import FunctionClasses
+from .session import Session, Submission
 
 
 class TextCommands:
-    """Answers the text commands of all sessions, out of the front's own tables."""
+    """Answers the text commands of all sessions from the front end's tables."""
 
-    def __init__(self, core: Core, counters: Counters, queues: Queues, schedule: Schedule, functions: Functions,
-                 sessions: Mapping[asyncio.Task[None], Session], workers: Mapping[str, Session],
-                 works: Mapping[bytes, Work], by_unique: Mapping[tuple[bytes, bytes], Work],
-                 refused: Callable[[Work], None], shutdown: Callable[[], None]) -> None:
-        """``refused`` ends a job that the core has never had; ``shutdown`` ends the daemon."""
+    def __init__(self, core: Core, counters: Counters, queues: Queues, schedule: Schedule,
+                 functions: FunctionClasses, sessions: Mapping[asyncio.Task[None], Session],
+                 workers: Mapping[str, Session], submissions: Mapping[bytes, Submission],
+                 by_unique: Mapping[tuple[bytes, bytes], Submission],
+                 refuse_job: Callable[[Submission], None], shutdown: Callable[[], None]) -> None:
+        """``refuse_job`` ends a job that was never offered to the core; ``shutdown`` stops the scheduler."""
         self.core = core
         self.counters = counters
         self.queues = queues
@@ -36,13 +37,13 @@
         self.functions = functions
         self.sessions = sessions
         self.workers = workers
-        self.works = works
+        self.submissions = submissions
         self.by_unique = by_unique
-        self.refused = refused
+        self.refuse_job = refuse_job
         self.shutdown = shutdown
 
     async def answer(self, words: list[str]) -> bytes:
-        """Do what a line says; what is answered to it."""
+        """Execute a command; returns its answer."""
         self.counters.add("gearman.commands")
         text = " ".join(words[:2])
         if text == "status":
@@ -60,7 +61,7 @@
             return f"OK {os.getpid()}\n".encode()
         if words[0] == "maxqueue" and 2 <= len(words) <= 5 and all(re.fullmatch(r"\d{1,9}", w)
                                                                    for w in words[2:]):
-            self.queues.limit(words[1].encode("latin-1"), [int(w) for w in words[2:]])
+            self.queues.set_function_limits(words[1].encode("latin-1"), [int(w) for w in words[2:]])
             return b"OK\n"
         if text == "prioritystatus":
             return self._priority_lines()
@@ -69,7 +70,7 @@
             return b"OK\n"
         if text == "show jobs":
             return _lines([f"{w.handle.decode('latin-1')}\t{_retries(w)}\t0\t{int(not w.running)}"
-                           for w in self.works.values()])
+                           for w in self.submissions.values()])
         if text == "show unique" and words[2:] == ["jobs"]:
             return _lines([unique.decode("latin-1") for _, unique in self.by_unique])
         if text == "cancel job" and len(words) == 3:
@@ -83,37 +84,38 @@
         return b"ERR UNKNOWN_COMMAND Unknown+server+command\n"
 
     def _status_lines(self) -> bytes:
-        jobs = Counter(w.function for w in self.works.values())
-        running = Counter(w.function for w in self.works.values() if w.running)
-        able = Counter(f for s in self.workers.values() for f in s.abilities)
-        return _lines([f"{f.decode('latin-1')}\t{jobs[f]}\t{running[f]}\t{able[f]}"
-                       for f in sorted(set(self.functions.all()) | set(jobs))])
+        jobs = Counter(w.function for w in self.submissions.values())
+        running = Counter(w.function for w in self.submissions.values() if w.running)
+        able_workers = Counter(f for s in self.workers.values() for f in s.abilities)
+        return _lines([f"{f.decode('latin-1')}\t{jobs[f]}\t{running[f]}\t{able_workers[f]}"
+                       for f in sorted(set(self.functions.all_classes()) | set(jobs))])
 
     def _priority_lines(self) -> bytes:
-        """Jobs that wait, by priority, and able workers."""
-        able = Counter(f for s in self.workers.values() for f in s.abilities)
-        return _lines(["\t".join([f.decode("latin-1"), *map(str, self.queues.waiting(f)), str(able[f])])
-                       for f in sorted(set(self.functions.all()) | set(self.queues.functions()))])
+        """Queued jobs by priority, and the number of workers that can run them."""
+        able_workers = Counter(f for s in self.workers.values() for f in s.abilities)
+        return _lines(["\t".join([f.decode("latin-1"), *map(str, self.queues.counts_by_priority(f)),
+                                  str(able_workers[f])])
+                       for f in sorted(set(self.functions.all_classes()) | set(self.queues.functions()))])
 
     async def _cancel_job(self, handle: bytes) -> bytes:
-        """Only a job that has not been handed out can be taken back."""
-        work = self.works.get(handle)
-        if work is None or work.job is None:
+        """Cancel a job; possible only before a worker has started it."""
+        submission = self.submissions.get(handle)
+        if submission is None or submission.job is None:
             return b"ERR UNKNOWN_JOB No+such+job\n"
-        if work.running:
+        if submission.running:
             return b"ERR JOB_RUNNING It+has+begun\n"
-        if work.waiting is not None or self.schedule.remove(work):
-            if work.waiting is not None:
-                self.queues.remove(work.waiting)
-            work.waiting = None
-            self.refused(work)
+        if submission.queue_entry is not None or self.schedule.remove(submission):
+            if submission.queue_entry is not None:
+                self.queues.remove(submission.queue_entry)
+            submission.queue_entry = None
+            self.refuse_job(submission)
             return b"OK\n"
-        await self.core.post(partial(self.core.withdraw, work.job))
+        await self.core.post(partial(self.core.withdraw, submission.job))
         return b"OK\n"
 
 
-def _retries(work: Work) -> int:
-    return max(0, len(work.job.calls) - 1) if work.job is not None else 0
+def _retries(submission: Submission) -> int:
+    return max(0, len(submission.job.calls) - 1) if submission.job is not None else 0
 
 
 def _lines(lines: list[str]) -> bytes:
--- a/tests/test_gearman.py
+++ b/tests/test_gearman.py
@@ -1,4 +1,4 @@
-"""Scenarios of the Gearman front: both sides of the binary protocol, the text commands, never twice."""
+"""Scenarios of the Gearman front end: clients and workers, text commands, at-most-once jobs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 pos = "poloha"
 pay = "vyuctovani"
 """
-# A worker (g) that can do both functions and sleeps.
+# A worker (g) that has registered both functions and sleeps.
 WORKER = """
     g send 1 pos
     g send 1 pay
@@ -91,7 +91,7 @@
         g send 39
         g expect #40 (?P<h>H:[^\\x00]+)\\x00pos\\x00u2\\x00\\x00load
     """,
-    # Guards against running a bill twice: the drop may have come after the job had run.
+    # Guards against running an at-most-once job twice: the worker may have run it before it disconnected.
     "a worker that drops during a never-twice job: WORK_FAIL, sent nowhere else": f"""{WORKER}
         g2 send 7 pay|u1|bill
         g2 expect #8 (?P<c>H:[^\\x00]+)
@@ -276,18 +276,18 @@
     play(SCENARIOS[name], fronts=FRONTS, known="")
 
 
-HOLDS: dict[str, tuple[str, dict[str, Any]]] = {
-    # A daemon that has just started may have run the job in its former life.
+REFUSAL_CASES: dict[str, tuple[str, dict[str, Any]]] = {
+    # A scheduler that has just started may have run the job before its restart.
     "just_started": (FRONTS.replace("hold_after_start = false", ""), {}),
-    # u1 of pay belongs to the other daemon; nothing here could tell whether that one ran it.
+    # u1 of pay belongs to the other scheduler; this one has no record of whether that one ran it.
     "not_home": (FRONTS, {"settings": {**SETTINGS, "balancers": 2, "me": 1}}),
     "no_room": (FRONTS.replace("hold_after_start", "ends_most = 1\nhold_after_start"), {}),
 }
 
 
-@pytest.mark.parametrize("why", HOLDS)
-def test_a_never_twice_job_is_refused_where_nothing_holds(why: str) -> None:
-    fronts, more = HOLDS[why]
-    first = "g2 send 7 pay|u0|bill\ng2 expect #8\n" if why == "no_room" else ""
-    play(f"{WORKER}{first}\ng2 send 7 pay|u1|bill\ng2 expect #19 {why}\ng2 send 7 pos|u1|x\ng2 expect #8",
-         fronts=fronts, known="", **more)
+@pytest.mark.parametrize("code", REFUSAL_CASES)
+def test_a_never_twice_job_is_refused_where_nothing_holds(code: str) -> None:
+    fronts, options = REFUSAL_CASES[code]
+    first = "g2 send 7 pay|u0|bill\ng2 expect #8\n" if code == "no_room" else ""
+    play(f"{WORKER}{first}\ng2 send 7 pay|u1|bill\ng2 expect #19 {code}\ng2 send 7 pos|u1|x\ng2 expect #8",
+         fronts=fronts, known="", **options)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""The queues before the core: admission, order, fairness, ageing, expiry; and the front that draws from them."""
+"""Job queues: admission, order, fairness, ageing and expiry; and the front end that dequeues from them."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gaphub.gearman.queues import AGEING, OVERHEAD, Bounds, Queues, Waiting
+from gaphub.gearman.queues import AGEING_INTERVAL, JOB_OVERHEAD_BYTES, Bounds, QueuedJob, Queues
 
 from .scenario import play
 
 
-def put(q: Queues, item: Any, client: Any = 1, priority: int = 1, now: float = 0.0, expires: float = 1e9,
-        function: bytes = b"f", size: int = 10) -> Waiting:
-    job = q.put(item, 0, function, client, priority, size, now, expires)
-    assert isinstance(job, Waiting)
+def put(q: Queues, item: Any, client: Any = 1, priority: int = 1, now: float = 0.0, expires_at: float = 1e9,
+        function: bytes = b"f", size: int = 10) -> QueuedJob:
+    job = q.put(item, 0, function, client, priority, size, now, expires_at)
+    assert isinstance(job, QueuedJob)
     return job
 
 
-def drawn(q: Queues) -> list[Any]:
+def dequeue_all(q: Queues) -> list[Any]:
     found = []
-    while (job := q.draw(0)) is not None:
+    while (job := q.dequeue(0)) is not None:
         found.append(job.item)
     return found
 
@@ -33,7 +33,7 @@
     q = Queues(Bounds())
     for i, priority in enumerate((2, 1, 0, 1, 0)):
         put(q, i, priority=priority)
-    assert drawn(q) == [2, 4, 1, 3, 0]
+    assert dequeue_all(q) == [2, 4, 1, 3, 0]
     assert (q.count, q.bytes, q.functions()) == (0, 0, [])
 
 
@@ -43,32 +43,33 @@
         put(q, ("flood", i), client="flood")
     for i in range(10):
         put(q, ("small", i), client="small")
-    places = [n for n, item in enumerate(drawn(q)[:100]) if item[0] == "small"]
+    places = [n for n, item in enumerate(dequeue_all(q)[:100]) if item[0] == "small"]
     assert len(places) == 10
-    assert max(places) <= 2 * 10 + 10 // AGEING + 3
+    assert max(places) <= 2 * 10 + 10 // AGEING_INTERVAL + 3
 
 
 def test_a_stream_of_high_ones_does_not_starve_a_low_one() -> None:
     q = Queues(Bounds())
     put(q, "low", priority=2)
-    for n in range(AGEING):
+    for n in range(AGEING_INTERVAL):
         put(q, n, priority=0)
         put(q, n, priority=0)
-        if q.draw(0).item == "low":  # type: ignore[union-attr]
+        if q.dequeue(0).item == "low":  # type: ignore[union-attr]
             break
     else:
         raise AssertionError("starved")
-    assert n < AGEING
+    assert n < AGEING_INTERVAL
 
 
-@pytest.mark.parametrize(("bounds", "why"), [
-    (Bounds(jobs=2), "queues_full"), (Bounds(jobs_function=2), "function_queue_full"),
-    (Bounds(jobs_client=2), "client_queue_full"), (Bounds(total_bytes=2 * (OVERHEAD + 10)), "queues_full")])
-def test_admission(bounds: Bounds, why: str) -> None:
+@pytest.mark.parametrize(("bounds", "reason"), [
+    (Bounds(jobs=2), "queues_full"), (Bounds(jobs_per_function=2), "function_queue_full"),
+    (Bounds(jobs_per_client=2), "client_queue_full"),
+    (Bounds(total_bytes=2 * (JOB_OVERHEAD_BYTES + 10)), "queues_full")])
+def test_admission(bounds: Bounds, reason: str) -> None:
     q = Queues(bounds)
     job = put(q, 1)
     put(q, 2)
-    assert q.put(3, 0, b"f", 1, 1, 10, 0.0, 1.0) == why
+    assert q.put(3, 0, b"f", 1, 1, 10, 0.0, 1.0) == reason
     assert q.refused == 1
     assert q.remove(job)
     assert not q.remove(job)
@@ -77,25 +78,25 @@
 
 def test_maxqueue_by_priority() -> None:
     q = Queues(Bounds())
-    q.limit(b"f", [1, 2, 0])
+    q.set_function_limits(b"f", [1, 2, 0])
     put(q, 1, priority=0)
     assert q.put(2, 0, b"f", 1, 0, 1, 0.0, 1.0) == "queue_full"
     for i in range(5):
         put(q, i, priority=2)
     put(q, 1, priority=1)
-    assert q.why_not(b"f", 1, 1, 1, drawn=1) == "queue_full"
-    q.limit(b"f", [])
+    assert q.refusal_reason(b"f", 1, 1, 1, dispatched=1) == "queue_full"
+    q.set_function_limits(b"f", [])
     put(q, 1, priority=0)
 
 
 def test_what_waits_too_long_comes_out_once() -> None:
     q = Queues(Bounds())
-    jobs = [put(q, i, expires=float(i)) for i in range(10)]
-    q.move(jobs[2], 0, 100.0)  # somebody joined who waits longer
-    assert [j.item for j in q.expired(4.0)] == [0, 1, 3, 4]
-    assert list(q.expired(4.0)) == []
+    jobs = [put(q, i, expires_at=float(i)) for i in range(10)]
+    q.upgrade(jobs[2], 0, 100.0)  # submitted again by a client that waits longer
+    assert [j.item for j in q.pop_expired(4.0)] == [0, 1, 3, 4]
+    assert list(q.pop_expired(4.0)) == []
     assert q.next_expiry() <= 5.0
-    assert drawn(q) == [2, 5, 6, 7, 8, 9]
+    assert dequeue_all(q) == [2, 5, 6, 7, 8, 9]
 
 
 def test_memory_follows_what_waits() -> None:
@@ -104,42 +105,42 @@
         job = put(q, n, client=n % 7, priority=n % 3)
         if n >= 10:
             q.remove(job)
-    kept = q._classes[0]
-    assert len(q._expiry) < 200
-    assert sum(len(jobs) for lane in kept.lanes for jobs in lane.clients.values()) < 200
-    assert len(kept.by_age) < 200
+    class_queue = q._classes[0]
+    assert len(q._expiry_heap) < 200
+    assert sum(len(jobs) for level in class_queue.levels for jobs in level.by_client.values()) < 200
+    assert len(class_queue.by_age) < 200
 
 
 class Model(RuleBasedStateMachine):
-    """Any order of calls against a list."""
+    """Arbitrary sequences of calls, compared with a list."""
 
     def __init__(self) -> None:
         super().__init__()
         self.q = Queues(Bounds(jobs=30))
-        self.jobs: list[Waiting] = []
+        self.jobs: list[QueuedJob] = []
         self.now = 0.0
-        self.moved = False  # whether any job changed its lane
+        self.moved = False  # whether any job changed its priority
 
     @rule(client=st.integers(0, 3), priority=st.integers(0, 2), life=st.integers(1, 50), cls=st.integers(0, 1))
     def put(self, client: int, priority: int, life: int, cls: int) -> None:
         job = self.q.put(object(), cls, b"f%d" % cls, client, priority, 5, self.now, self.now + life)
-        assert isinstance(job, Waiting) == (len(self.jobs) < 30)
-        if isinstance(job, Waiting):
+        assert isinstance(job, QueuedJob) == (len(self.jobs) < 30)
+        if isinstance(job, QueuedJob):
             self.jobs.append(job)
 
     @precondition(lambda self: self.jobs)
     @rule(cls=st.integers(0, 1))
-    def draw(self, cls: int) -> None:
+    def dequeue(self, cls: int) -> None:
         of = [j for j in self.jobs if j.class_index == cls]
-        job = self.q.draw(cls)
+        job = self.q.dequeue(cls)
         assert (job is None) == (not of)
         if job is not None:
-            oldest = min(of, key=lambda j: j.number)
+            oldest = min(of, key=lambda j: j.serial)
             best = min(j.priority for j in of)
             assert job is oldest or job.priority == best
             if job is not oldest and not self.moved:
                 assert not [j for j in of if (j.client, j.priority) == (job.client, job.priority)
-                            and j.number < job.number], "first come first served within a client"
+                            and j.serial < job.serial], "first come first served within a client"
             self.jobs.remove(job)
 
     @precondition(lambda self: self.jobs)
@@ -153,16 +154,16 @@
     @rule(data=st.data(), priority=st.integers(0, 2), life=st.integers(1, 80))
     def join(self, data: st.DataObject, priority: int, life: int) -> None:
         job = data.draw(st.sampled_from(self.jobs))
-        before = job.priority, job.expires
+        before = job.priority, job.expires_at
         self.moved = True
-        self.q.move(job, priority, self.now + life)
-        assert (job.priority, job.expires) == (min(before[0], priority), max(before[1], self.now + life))
+        self.q.upgrade(job, priority, self.now + life)
+        assert (job.priority, job.expires_at) == (min(before[0], priority), max(before[1], self.now + life))
 
     @rule(ms=st.integers(1, 30))
     def wait(self, ms: int) -> None:
         self.now += ms
-        over = [j for j in self.jobs if j.expires <= self.now]
-        assert set(map(id, self.q.expired(self.now))) == set(map(id, over))
+        over = [j for j in self.jobs if j.expires_at <= self.now]
+        assert set(map(id, self.q.pop_expired(self.now))) == set(map(id, over))
         self.jobs = [j for j in self.jobs if j not in over]
 
     @invariant()
@@ -171,7 +172,7 @@
         assert self.q.bytes == sum(j.size for j in self.jobs)
         for cls in (0, 1):
             seen = Counter(j.priority for j in self.jobs if j.class_index == cls)
-            assert self.q.waiting(b"f%d" % cls) == [seen[p] for p in range(3)]
+            assert self.q.counts_by_priority(b"f%d" % cls) == [seen[p] for p in range(3)]
         assert self.q.oldest_ms(self.now) >= 0.0
 
 
@@ -188,14 +189,14 @@
     waiting = set(range(len(jobs)))
     while waiting:
         oldest = min(waiting)
-        job = q.draw(0)
+        job = q.dequeue(0)
         assert job is not None
         waiting.discard(job.item)
         waits = 0 if job.item == oldest else waits + 1
-        assert waits < AGEING
+        assert waits < AGEING_INTERVAL
 
 
-# --- the front -----------------------------------------------------------------------------------------
+# --- front end -----------------------------------------------------------------------------------------
 
 FRONTS = """
 [gearman]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -114,7 +114,7 @@
 def test_faulty_files_are_refused_by_their_key(tmp_path: Path, change: str, key: str) -> None:
     folder = make(tmp_path / "a")
     front = config.GearmanConfig(tls_cert=f"{folder}/server.pem", tls_key=f"{folder}/server.key")
-    assert tls.context(front) is not None
+    assert tls.server_context(front) is not None
     secret = (folder / "server.key").read_text()
     if change == "open":
         (folder / "server.key").chmod(0o640)
@@ -125,7 +125,7 @@
     else:
         front = config.GearmanConfig(tls_cert=front.tls_cert, tls_key=front.tls_key, tls_ca=f"{folder}/none")
     with pytest.raises(config.ConfigError, match=f"gearman.{key}") as caught:
-        tls.context(front)
+        tls.server_context(front)
     assert secret.splitlines()[1] not in str(caught.value)
 
 
