--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from hypothesis import HealthCheck, example, given, settings
+from hypothesis import HealthCheck, example, given, seed, settings
 from hypothesis import strategies as st
 
 from gaphub.config import Address
@@ -71,6 +71,11 @@
 LIGHT = ClassSpec(3.0, 150.0, 1, False, Effect.SAFE, 3.0)
 
 
+# Fixed, as without it the deployments that are drawn change with the wording of the test function.
+DRAW_SEED = 0xe9717ccd54bc31f229577045dfe43e17e63e619f4268d2291b7625724d6abcc5704e7061da7a03f077aeefba0ba9bed0
+
+
+@seed(DRAW_SEED)
 @settings(derandomize=True, deadline=None, max_examples=25, suppress_health_check=list(HealthCheck))
 @example([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, 1)
 @example([LIGHT, ClassSpec(2.0, 400.0, 4, False, Effect.UNSAFE, 1.0)], 2, 1.0, 12, 0.3, False, 2)
@@ -86,6 +91,17 @@
             assert tally.served >= SHARE * tally.asked, (spec, tally)
 
 
+def test_no_class_starves_that_is_a_small_part_of_the_load_of_one_scheduler() -> None:
+    classes = [ClassSpec(1.0, 150.0, 1, False, Effect.SAFE, 0.2),
+               ClassSpec(1.0, 150.0, 2, False, Effect.SAFE, 1.0),
+               ClassSpec(1.0, 150.0, 4, False, Effect.SAFE, 0.2)]
+    tallies, peak_load = simulate(classes, 1, 1.0, 1, 0.3, False, 2)
+    assert peak_load <= 1.0
+    for spec, tally in zip(classes, tallies, strict=True):
+        if tally.asked >= 20 and tally.room >= 0.5 * tally.asked:
+            assert tally.served >= SHARE * tally.asked, (spec, tally)
+
+
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_heavy_class_whose_whole_kind_is_replaced_goes_on(seed: int) -> None:
     (light, heavy), peak_load = simulate([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, seed)
