--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -316,7 +316,7 @@
         call.duration_ms = now - call.sent_at
         self.counters.add(f"calls.{outcome.status.name.lower()}")
         if self._client_left(job):
-            self.client_gone(job)  # first, lest the Balancer retry for a client that is gone
+            self.client_gone(job)  # before the Balancer can choose a retry for it
         reported_status = outcome.status
         if outcome.status == Status.OK:
             self._answer(job, Answer(FinalStatus.SERVED, outcome.body))
--- a/gaphub/messages.py
+++ b/gaphub/messages.py
@@ -63,7 +63,7 @@
     forwarded_headers: tuple[tuple[bytes, bytes], ...] = ()  # passed to the worker unchanged
     on_update: Callable[[str, tuple[bytes, ...]], None] | None = None  # gets updates before the answer
     front_context: object = None  # the front end's own record of the request
-    balancer_budget_ms: float = 0.0  # remaining time as told to the Balancer; 0: the actual remaining time
+    balancer_budget_ms: float = 0.0  # remaining time as passed to the Balancer; 0: the actual remaining time
     fence: Fence | None = None  # must hold when the request is accepted and sent; None: no fence
     client_left_at: Callable[[], float] | None = None  # when the client disconnected; 0: still connected
     number: int = 0  # assigned by the core; the Balancer's request id
