--- a/gaphub/core.py
+++ b/gaphub/core.py
@@ -77,7 +77,7 @@
         self._serial = 0
         self._jobs: dict[int, Job] = {}
         self.balancer = Balancer(clock.now(), settings, seed, self)
-        counters.sources["occupancy"] = self.balancer.occupancy.figures
+        counters.sources["occupancy"] = self.balancer.occupancy.counters
 
     # -- the mailbox --
 
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -21,7 +21,7 @@
 from ...net.destinations import SOURCE
 from ...net.peers import HEARTBEAT_FULL_RATE_PEERS, HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.messages import DELTA, SNAPSHOT, Kind
-from ...occupancy.pacing import HEARTBEAT_MS, Pacing
+from ...occupancy.pacing import HEARTBEAT_INTERVAL_MS, Pacing
 from .points import Told
 
 STEP_MOST_MS = 50.0  # ms; what a later look would have had to do is left out, and shows in ``covered_s``
@@ -95,11 +95,11 @@
             self.counts[worker] = left
         else:
             del self.counts[worker]
-        return self.say(now, DELTA) if self.pacing.changed(now, worker, more) else []
+        return self.say(now, DELTA) if self.pacing.record_change(now, worker, more) else []
 
     def turn(self, now: float) -> list[bytes]:
         """What is due once in ``HEARTBEAT_MS``."""
-        due = self.pacing.next_turn(now)
+        due = self.pacing.next_tick(now)
         return [] if due is None else self.say(now, due)
 
     def flush(self, now: float) -> list[bytes]:
@@ -110,7 +110,7 @@
     def say(self, now: float, kind: Kind) -> list[bytes]:
         """Messages with what has changed, or with the whole table."""
         workers = list(self.pacing.pending) if kind is DELTA else list(self.counts)
-        return list(self.pacing.messages(now, kind, [(w, self.counts.get(w, 0)) for w in workers]))
+        return list(self.pacing.encode_broadcast(now, kind, [(w, self.counts.get(w, 0)) for w in workers]))
 
 
 class TaskProcess:
@@ -174,7 +174,7 @@
 
     def _schedule(self, now: float) -> None:
         for i, one in enumerate(self.schedulers):
-            one.pacing.turn = self.draw.randrange(1, 1 + one.pacing.snapshot_turns)  # as if it ran for long
+            one.pacing.tick = self.draw.randrange(1, 1 + one.pacing.snapshot_ticks)  # as if it ran for long
             part = i / len(self.schedulers)
             heappush(self._due, (now + part * self.plan.fill_s * 1000.0, _WHOLE, i))
             heappush(self._due, (now + self.draw.random() * HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
@@ -204,5 +204,5 @@
         if what == _BEAT:
             heappush(self._due, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.pace, _BEAT, i))
             return [bytes([HEARTBEAT_TYPE, 1])]
-        heappush(self._due, (now + HEARTBEAT_MS * (0.8 + 0.4 * self.draw.random()), _TURN, i))
+        heappush(self._due, (now + HEARTBEAT_INTERVAL_MS * (0.8 + 0.4 * self.draw.random()), _TURN, i))
         return one.turn(now) if what == _TURN else one.say(now, SNAPSHOT)
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -76,7 +76,7 @@
         self._shared = shared
         self._lag_ms = lag_ms
         for wire_id in shared.assignment.shards[me]:
-            self.list_worker(wire_id)
+            self.add_worker(wire_id)
 
     def set_own(self, wire_id: int, count: int) -> None:
         """Nothing: the table holds it."""
@@ -89,9 +89,9 @@
         """The slots that all have out at a worker."""
         return super().total(wire_id) + self._shared.out.get(wire_id, 0)
 
-    def as_of(self, now: float, wire_id: int, need: frozenset[int], all_dead: DeadSet) -> float:
+    def as_of(self, now: float, wire_id: int, dead_required: frozenset[int], all_dead: DeadSet) -> float:
         """When the sum at a worker was whole, as ``AGE_ROUNDS`` has it."""
-        return min(super().as_of(now, wire_id, need, all_dead), now - self._lag_ms)
+        return min(super().as_of(now, wire_id, dead_required, all_dead), now - self._lag_ms)
 
 
 class HollowExchange(ShardedExchange):
@@ -113,18 +113,18 @@
     def _targets(self, wire_id: int) -> list[int]:
         return [member for member in super()._targets(wire_id) if member in self._real]
 
-    def _tell(self, now: float, member: int) -> list[Outgoing]:
+    def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
         if member not in self._real:
             self._bucket.spend(self._told_bytes)
-            self._reported += self._told_reports
+            self._entries_reported += self._told_reports
             return []
-        reported = self._reported
-        outgoing = super()._tell(now, member)
+        reported = self._entries_reported
+        outgoing = super()._send_round_to(now, member)
         self._told_bytes = sum(len(data) for _, data in outgoing)
-        self._told_reports = self._reported - reported
+        self._told_reports = self._entries_reported - reported
         return outgoing
 
-    def _silent(self, member: int) -> None:
+    def _on_member_dead(self, member: int) -> None:
         """Nothing: a run in which a real scheduler falls silent has failed."""
 
 
@@ -146,7 +146,7 @@
             self._count(scheduler, worker, 1)
         for scheduler, counts in enumerate(self.counts):
             for worker, count in counts.items():
-                self.exchanges[scheduler].changed(now, worker, count, True)
+                self.exchanges[scheduler].record_change(now, worker, count, True)
         for i, exchange in enumerate(self.exchanges):
             heappush(self._due, (now + self.draw.random() * exchange.plan.round_ms, _WAKE, i))
             heappush(self._due, (now + self.draw.random() * self._pace_ms, _BEAT, i))
@@ -166,7 +166,7 @@
         """Play on until ``now``: each datagram that is due."""
         for scheduler, worker, more in self.changes(now):
             left = self._count(scheduler, worker, 1 if more else -1)
-            self.exchanges[scheduler].changed(now, worker, left, more)
+            self.exchanges[scheduler].record_change(now, worker, left, more)
         while self._due and self._due[0][0] <= now:
             due, what, i = heappop(self._due)
             if what == _BEAT:
--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -361,7 +361,7 @@
         worker.cold_allowance.earn(now, per_window / self.settings.fall_ms)
         if cost > cold_start.MAX_REQUEST_SHARE * load_limit:
             return False
-        if (slots := self._known_slots(worker, now)) > 0.0 and (part := self.occupancy.heard_part) > 0.0:
+        if (slots := self._known_slots(worker, now)) > 0.0 and (part := self.occupancy.heard_share) > 0.0:
             # The slots that the heard schedulers use are known.  Together these may use their part of what
             # the rule allows all schedulers, as the others may be cut off and send as well.
             return (slots_out := self._total_slots_out(worker)) <= 0.0 or (
@@ -425,7 +425,7 @@
 
     def _total_slots_out(self, worker: Worker) -> float:
         """The slots that the attempts of all schedulers hold at a worker."""
-        return worker.slots_out + self.occupancy.out(worker.id)
+        return worker.slots_out + self.occupancy.peer_slots(worker.id)
 
     def _expected_wait_ms(self, worker: Worker, job: Job, now: float) -> float:
         """How long a job sent now would wait in the worker's queue."""
@@ -442,7 +442,7 @@
         if self.shares_counts:
             listed = self.fleet.workers.get(worker.id)  # not ``worker`` if it was dropped and listed again
             slots_out = listed.slots_out if listed is not None else 0.0
-            self._send_messages(self.occupancy.changed(now, worker.id, slots_out, more))
+            self._send_messages(self.occupancy.record_change(now, worker.id, slots_out, more))
 
     def _send_messages(self, messages: Sequence[Outgoing]) -> None:
         """Send messages of the occupancy exchange, and set timers for its wakeups."""
--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -12,7 +12,7 @@
 from ..config import Address, Config
 from ..core import Core
 from ..metrics import Counters
-from ..occupancy.choice import is_read
+from ..occupancy.choice import is_exchange_message
 from ..store import MAGIC, MAX_DATAGRAM_BYTES, MalformedDatagramError, Store
 from ..tasks import Tasks
 
@@ -70,7 +70,7 @@
                     self.serving_until = now + HEARTBEAT_TTL_MS * owner.heartbeat_stretch * data[1]
                 elif data.startswith(MAGIC):
                     datagrams = store.receive(self.number, data, now) if owner.replicates else []
-                elif not is_read(data):
+                elif not is_exchange_message(data):
                     raise MalformedDatagramError("unknown datagram format")
                 else:
                     datagrams = []
--- a/gaphub/occupancy/aggregator.py
+++ b/gaphub/occupancy/aggregator.py
@@ -50,7 +50,7 @@
         self._waiting: dict[int, set[int]] = {}  # members that must report all before a worker's sum is whole
         self._own: dict[int, int] = {}
 
-    def list_worker(self, wire_id: int) -> None:
+    def add_worker(self, wire_id: int) -> None:
         """Take counts of a worker; whoever named it before it was listed must report all again."""
         if wire_id in self._listed:
             return
@@ -61,7 +61,7 @@
                 said.applied = 0
                 self._waiting.setdefault(wire_id, set()).add(member)
 
-    def unlist_worker(self, wire_id: int) -> None:
+    def remove_worker(self, wire_id: int) -> None:
         """Take no more counts of a worker."""
         self._listed.discard(wire_id)
         self._waiting.pop(wire_id, None)
@@ -139,8 +139,8 @@
         said = self._reported[member]
         said.as_of = max(said.as_of, as_of)
         said.dead = dead
-        for need, times in self._by_need.items():
-            if dead.includes(need, all_dead):
+        for dead_required, times in self._by_need.items():
+            if dead.includes(dead_required, all_dead):
                 times[member] = max(times.get(member, NEVER), as_of)
 
     def live(self, live: Set[int]) -> None:
@@ -153,20 +153,20 @@
         """Find the age of sums anew."""
         self._oldest.clear()
 
-    def as_of(self, now: float, wire_id: int, need: frozenset[int], all_dead: DeadSet) -> float:
+    def as_of(self, now: float, wire_id: int, dead_required: frozenset[int], all_dead: DeadSet) -> float:
         """When the sum at a worker was whole; ``need``: whom a member must take to be dead to report it here."""
         if wire_id in self._waiting and self._waiting[wire_id] & self._live:
             return NEVER
-        oldest = self._oldest.get(need)
+        oldest = self._oldest.get(dead_required)
         if oldest is None:
-            oldest = self._oldest[need] = self._find(now, need, all_dead)
+            oldest = self._oldest[dead_required] = self._find(now, dead_required, all_dead)
         return oldest
 
-    def _find(self, now: float, need: frozenset[int], all_dead: DeadSet) -> float:
-        times = self._by_need.get(need)
+    def _find(self, now: float, dead_required: frozenset[int], all_dead: DeadSet) -> float:
+        times = self._by_need.get(dead_required)
         if times is None:
-            times = self._by_need[need] = {m: said.as_of for m, said in self._reported.items()
-                                           if said.dead.includes(need, all_dead)}
+            times = self._by_need[dead_required] = {m: said.as_of for m, said in self._reported.items()
+                                           if said.dead.includes(dead_required, all_dead)}
         return min((times.get(m, NEVER) for m in self._live), default=now)
 
     def others(self, wire_id: int, member: int) -> int:
--- a/gaphub/occupancy/all_to_all.py
+++ b/gaphub/occupancy/all_to_all.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from .exchange import ALL_PEERS, CAPACITY_ANSWERS, NO_NEWS, NOTHING, Outgoing, Random, Received
-from .ledger import Ledger
+from .exchange import ALL_PEERS, CAPACITY_REPLIES, NO_MESSAGES, NOTHING_RECEIVED, Outgoing, Random, Received
+from .ledger import PeerCounts
 from .messages import CAPACITY, DELTA, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode
-from .pacing import HEARTBEAT_MS, Pacing
+from .pacing import HEARTBEAT_INTERVAL_MS, Pacing
 
 TURN_LEAST = 0.8  # of HEARTBEAT_MS; from one turn to the next at the least
 TURN_SPREAD = 0.4  # of HEARTBEAT_MS; and so much more at the most, by chance, so that peers don't go in step
@@ -20,18 +20,18 @@
 class AllToAll:
     """Each scheduler tells each other its counts: changes as they come, and a snapshot once in a while."""
 
-    __slots__ = ("out", "complete", "_others", "_ledger", "_pacing", "_own", "_turn_at", "_wakeup")
+    __slots__ = ("peer_slots", "complete", "_others", "_ledger", "_pacing", "_own", "_turn_at", "_wakeup")
 
     def __init__(self, now: float, others: int) -> None:
         """``others``: how many other schedulers there are.  The first wakeup is wanted at once."""
         self._others = others
-        self._ledger = Ledger(others)
+        self._ledger = PeerCounts(others)
         self._pacing = Pacing(others)
         self._own: dict[int, float] = {}  # this scheduler's slots out at each listed worker
         self._turn_at = now
         self._wakeup: float | None = now  # wanted, and not yet handed out
         # Asked for each worker that is ranked: without a call in between.
-        self.out = self._ledger.out
+        self.peer_slots = self._ledger.peer_slots
         self.complete = self._ledger.complete
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
@@ -45,17 +45,17 @@
             self._own.pop(worker, None)
         self._own.update(slots_out)
 
-    def changed(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """Tell a send at once, and with it what is held back; hold an end back, among many peers."""
         if worker in self._own:
             self._own[worker] = slots_out
         pacing = self._pacing
         held_back = pacing.flush_at
-        if pacing.changed(now, worker, more):
+        if pacing.record_change(now, worker, more):
             return self._tell_pending(now)
         if pacing.flush_at != held_back:
             self._wakeup = pacing.flush_at
-        return NOTHING
+        return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
         """Tell all peers, or each would have to find out by itself."""
@@ -64,15 +64,15 @@
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
         """Note a peer's counts; answer one that has just started with a snapshot, and by chance the capacities."""
-        message = self._ledger.take(now, sender, data)
+        message = self._ledger.receive(now, sender, data)
         if message is None:
-            return NO_NEWS
+            return NOTHING_RECEIVED
         if message.kind is CAPACITY:
             return Received(capacities=message.entries)
         if message.kind is not SNAPSHOT_REQUEST:
-            return NO_NEWS
-        replies = [Outgoing(sender, data) for data in self._pacing.answer(SNAPSHOT, self._snapshot())]
-        if random() * self._others < CAPACITY_ANSWERS:
+            return NOTHING_RECEIVED
+        replies = [Outgoing(sender, data) for data in self._pacing.encode_messages(SNAPSHOT, self._snapshot())]
+        if random() * self._others < CAPACITY_REPLIES:
             replies.append(self.capacity_message(sender, capacities))
         return Received(replies)
 
@@ -88,16 +88,16 @@
         flush_at = self._pacing.flush_at
         if flush_at and now >= flush_at - WAKEUP_EARLY_MS:
             return self._tell_pending(now)
-        return NOTHING
+        return NO_MESSAGES
 
     def _turn(self, now: float, random: Random) -> Sequence[Outgoing]:
-        kind = self._pacing.next_turn(now)
-        told: Sequence[Outgoing] = NOTHING
+        kind = self._pacing.next_tick(now)
+        told: Sequence[Outgoing] = NO_MESSAGES
         if kind is DELTA:
             told = self._tell_pending(now)
         elif kind is not None:
             told = self._tell(now, kind, self._snapshot())
-        self._turn_at = self._wakeup = now + HEARTBEAT_MS * (TURN_LEAST + TURN_SPREAD * random())
+        self._turn_at = self._wakeup = now + HEARTBEAT_INTERVAL_MS * (TURN_LEAST + TURN_SPREAD * random())
         return told
 
     def _tell_pending(self, now: float) -> Sequence[Outgoing]:
@@ -105,12 +105,12 @@
         return self._tell(now, DELTA, [(worker, own.get(worker, 0.0)) for worker in self._pacing.pending])
 
     def _tell(self, now: float, kind: Kind, counts: Sequence[tuple[int, float]]) -> Sequence[Outgoing]:
-        return [Outgoing(ALL_PEERS, data) for data in self._pacing.messages(now, kind, counts)]
+        return [Outgoing(ALL_PEERS, data) for data in self._pacing.encode_broadcast(now, kind, counts)]
 
     def _snapshot(self) -> list[tuple[int, float]]:
         return [(worker, slots) for worker, slots in self._own.items() if slots > 0]
 
-    def figures(self) -> Mapping[str, int]:
+    def counters(self) -> Mapping[str, int]:
         """None: what the peers are told is in the counts of the socket."""
         return {}
 
@@ -125,17 +125,17 @@
         return self._ledger.heard_at
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """The part of all schedulers that is heard, this one too."""
-        return self._ledger.heard_part
+        return self._ledger.heard_share
 
     def introduce(self, peer: int) -> Sequence[Outgoing]:
         """Tell one peer this scheduler's counts, and ask it for its own."""
-        return [Outgoing(peer, data) for data in self._pacing.answer(SNAPSHOT_REQUEST, self._snapshot())]
+        return [Outgoing(peer, data) for data in self._pacing.encode_messages(SNAPSHOT_REQUEST, self._snapshot())]
 
-    def forget(self, peer: int) -> None:
+    def remove_peer(self, peer: int) -> None:
         """Drop what a peer has told: it has nothing out, or tells it in another way."""
-        self._ledger.forget(peer)
+        self._ledger.remove_peer(peer)
 
     @staticmethod
     def capacity_message(peer: int, capacities: Mapping[int, float]) -> Outgoing:
--- a/gaphub/occupancy/choice.py
+++ b/gaphub/occupancy/choice.py
@@ -13,7 +13,7 @@
 FIRST_BYTES = frozenset((SUMS_VERSION, *(FORMAT | kind for kind in Kind)))
 
 
-def is_read(data: bytes) -> bool:
+def is_exchange_message(data: bytes) -> bool:
     """Whether a datagram begins as one of an exchange does; others are of a version that is not known here."""
     return data[:1] != b"" and data[0] in FIRST_BYTES
 
--- a/gaphub/occupancy/exchange.py
+++ b/gaphub/occupancy/exchange.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Protocol
 
 ALL_PEERS = -1  # as the peer of a message: to each of them
-CAPACITY_ANSWERS = 4  # peers, on average, that tell one which has just started the slots of each kind of worker
+CAPACITY_REPLIES = 4  # peers, on average, that tell one which has just started the slots of each kind of worker
 
 Random = Callable[[], float]  # evenly spread in [0, 1)
 
@@ -30,8 +30,8 @@
     capacities: Mapping[int, int] = {}  # by kind of worker: the slots that the peer has seen
 
 
-NOTHING: tuple[Outgoing, ...] = ()
-NO_NEWS = Received()
+NO_MESSAGES: tuple[Outgoing, ...] = ()
+NOTHING_RECEIVED = Received()
 
 
 class OccupancyExchange(Protocol):
@@ -50,7 +50,7 @@
                        gone: Iterable[int]) -> None:
         """Follow a list of changes: the workers that it names, and of those the ones that are gone."""
 
-    def changed(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """Note this scheduler's slots out at a worker, ``slots_out`` now; ``more``: they have grown."""
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
@@ -69,17 +69,17 @@
     def complete(self, now: float) -> bool:
         """Whether enough is known of the peers' occupancy for ``out`` to be used."""
 
-    def out(self, worker: int) -> int:
+    def peer_slots(self, worker: int) -> int:
         """The slots that the peers have out at a worker."""
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """The part of all schedulers, this one too, whose slots out are known as they are now, 0 to 1.
 
         0 where ``out`` is of an earlier moment: then it is no bound on what all send in an instant.
         """
 
-    def figures(self) -> Mapping[str, int]:
+    def counters(self) -> Mapping[str, int]:
         """What operators may want to know of the way that is used, by name."""
 
 
@@ -93,18 +93,18 @@
                        gone: Iterable[int]) -> None:
         """Ignored."""
 
-    def changed(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """Tell nothing."""
-        return NOTHING
+        return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
         """Tell nothing."""
-        return NOTHING
+        return NO_MESSAGES
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
         """Drop it."""
-        return NO_NEWS
+        return NOTHING_RECEIVED
 
     def take_wakeup(self) -> float | None:
         """None is wanted."""
@@ -112,21 +112,21 @@
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
         """Tell nothing."""
-        return NOTHING
+        return NO_MESSAGES
 
     def complete(self, now: float) -> bool:
         """Nothing is known."""
         return False
 
-    def out(self, worker: int) -> int:
+    def peer_slots(self, worker: int) -> int:
         """Nothing is known."""
         return 0
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """Nobody is heard."""
         return 0.0
 
-    def figures(self) -> Mapping[str, int]:
+    def counters(self) -> Mapping[str, int]:
         """None."""
         return {}
--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -21,12 +21,12 @@
     after: int
 
 
-def first_id(name: str) -> int:
+def primary_id(name: str) -> int:
     """The id of a worker whose name shares it with no other."""
     return zlib.crc32(name.encode())
 
 
-def second_id(name: str) -> int:
+def fallback_id(name: str) -> int:
     """The id of a worker whose first id is shared."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
@@ -66,8 +66,8 @@
             return []
         changed = self.remove(number) if number in self._names else []
         self._names[number] = name
-        self._sharing.setdefault(first_id(name), set()).add(number)
-        return changed + self._renamed(first_id(name))
+        self._sharing.setdefault(primary_id(name), set()).add(number)
+        return changed + self._renamed(primary_id(name))
 
     def remove(self, number: int) -> list[Renamed]:
         """Forget a worker; whose ids have changed by it."""
@@ -75,11 +75,11 @@
         if name is None:
             return []
         self._unset(number)
-        sharing = self._sharing[first_id(name)]
+        sharing = self._sharing[primary_id(name)]
         sharing.discard(number)
         if not sharing:
-            del self._sharing[first_id(name)]
-        return self._renamed(first_id(name))
+            del self._sharing[primary_id(name)]
+        return self._renamed(primary_id(name))
 
     def _renamed(self, first: int) -> list[Renamed]:
         """Give those that share a first id the ids that are due."""
@@ -87,7 +87,7 @@
         alone = len({self._names[n] for n in sharing}) <= 1
         changed = []
         for number in sorted(sharing):
-            due = first if alone else second_id(self._names[number])
+            due = first if alone else fallback_id(self._names[number])
             before = self._ids.get(number)
             if before == due:
                 continue
--- a/gaphub/occupancy/ledger.py
+++ b/gaphub/occupancy/ledger.py
@@ -16,7 +16,7 @@
 QUORUM_PEERS = 8  # one more for each so many: in a large fleet some are always down
 
 
-class Ledger:
+class PeerCounts:
     """What each peer has out at each worker, by wire id, as it last told; and the sums over the peers."""
 
     __slots__ = ("counts", "total", "heard_at", "sequence", "_quorum", "_others", "_asked_at", "_complete")
@@ -32,7 +32,7 @@
         self._asked_at = NEVER_MS  # when ``_complete`` was found: it is asked for each worker
         self._complete = False
 
-    def take(self, now: float, sender: int, data: bytes) -> Message | None:
+    def receive(self, now: float, sender: int, data: bytes) -> Message | None:
         """Note what a peer tells; its message, or None if it is dropped.
 
         A CAPACITY message is handed back as it is: it tells nothing of occupancy.
@@ -75,7 +75,7 @@
             self._add(key, -n)
         counts.clear()
 
-    def forget(self, sender: int) -> None:
+    def remove_peer(self, sender: int) -> None:
         """Drop what a peer has told."""
         self._asked_at = NEVER_MS
         self.heard_at.pop(sender, None)
@@ -100,10 +100,10 @@
         return len(self.heard_at) >= self._quorum
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """The part of all schedulers whose counts are known, this one among them."""
         return (1 + len(self.heard_at)) / (1 + self._others)
 
-    def out(self, worker: int) -> int:
+    def peer_slots(self, worker: int) -> int:
         """The slots that the peers have out at a worker."""
         return self.total.get(wire_id(worker), 0)
--- a/gaphub/occupancy/pacing.py
+++ b/gaphub/occupancy/pacing.py
@@ -11,9 +11,9 @@
 from .messages import DELTA, ENTRIES_MAX, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode, wire_id
 
 NEVER_MS = -1e18  # before any moment
-HEARTBEAT_MS = 1_000.0  # ms; the time from one turn to the next, on average
+HEARTBEAT_INTERVAL_MS = 1_000.0  # ms; the time from one turn to the next, on average
 PEERS_PER_STEP = 8  # peers; for each so many snapshots go out a turn more rarely, and ends are held longer
-HOLD_MS = 60.0  # ms; for each PEERS_PER_STEP peers, how long the end of an attempt is held back
+FLUSH_DELAY_MS = 60.0  # ms; for each PEERS_PER_STEP peers, how long the end of an attempt is held back
 
 
 class Pacing:
@@ -23,44 +23,44 @@
     them a DELTA of what is pending: an empty one, the heartbeat, if nothing was told lately.
     """
 
-    __slots__ = ("hold_ms", "snapshot_turns", "turn", "sequence", "pending", "flush_at", "told_at")
+    __slots__ = ("flush_delay_ms", "snapshot_ticks", "tick", "sequence", "pending", "flush_at", "sent_at")
 
     def __init__(self, others: int) -> None:
         """``others``: how many other schedulers there are."""
-        self.hold_ms = HOLD_MS * (others // PEERS_PER_STEP)
-        self.snapshot_turns = 1 + others // PEERS_PER_STEP
-        self.turn = -1
+        self.flush_delay_ms = FLUSH_DELAY_MS * (others // PEERS_PER_STEP)
+        self.snapshot_ticks = 1 + others // PEERS_PER_STEP
+        self.tick = -1
         self.sequence = -1
         self.pending: set[int] = set()  # workers whose count has changed since it was told
         self.flush_at = 0.0  # when what is pending is to be told; 0: nothing is held back
-        self.told_at = NEVER_MS
+        self.sent_at = NEVER_MS
 
-    def changed(self, now: float, worker: int, more: bool) -> bool:
+    def record_change(self, now: float, worker: int, more: bool) -> bool:
         """Note a change, ``more`` slots or fewer; whether to tell what is pending now."""
         self.pending.add(worker)
-        if more or not self.hold_ms:
+        if more or not self.flush_delay_ms:
             return True
         if not self.flush_at:
-            self.flush_at = now + self.hold_ms
+            self.flush_at = now + self.flush_delay_ms
         return False
 
-    def next_turn(self, now: float) -> Kind | None:
+    def next_tick(self, now: float) -> Kind | None:
         """What this turn brings; None: something was told lately, and that is enough of a heartbeat."""
-        self.turn += 1
-        if self.turn == 0:
+        self.tick += 1
+        if self.tick == 0:
             return SNAPSHOT_REQUEST
-        if self.turn == 1 or self.turn % self.snapshot_turns == 0:
+        if self.tick == 1 or self.tick % self.snapshot_ticks == 0:
             return SNAPSHOT
-        return DELTA if self.pending or now - self.told_at >= HEARTBEAT_MS / 2 else None
+        return DELTA if self.pending or now - self.sent_at >= HEARTBEAT_INTERVAL_MS / 2 else None
 
-    def messages(self, now: float, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
+    def encode_broadcast(self, now: float, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
         """Messages to all peers that tell these workers' counts; nothing is pending after them."""
         self.pending.clear()
         self.flush_at = 0.0
-        self.told_at = now
-        return self.answer(kind, counts)
+        self.sent_at = now
+        return self.encode_messages(kind, counts)
 
-    def answer(self, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
+    def encode_messages(self, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
         """The same to one peer: what is pending for the others stays so.
 
         The first message is of the kind named; what does not fit in it follows in DELTA messages.
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -21,7 +21,7 @@
 from .aggregator import NEVER, Aggregator
 from .assignment import Assignment
 from .budget import Limits, Plan, SumOrder, TokenBucket, plan
-from .exchange import NO_NEWS, Outgoing, Received
+from .exchange import NOTHING_RECEIVED, Outgoing, Received
 from .identity import Identities, Renamed
 from .reports import PeerReports
 from .sums import Sum, Sums
@@ -44,7 +44,7 @@
 FRESH_PART = 0.9  # of the listed workers must have a sum within the age bound
 
 
-class Drop(Enum):
+class DropReason(Enum):
     """Why something that came in was not used."""
 
     STRANGER = "from nobody who is a member"
@@ -75,7 +75,7 @@
         self.me = me
         self.epoch = epoch
         self.limits = limits or Limits()
-        self.dropped: Counter[Drop] = Counter()
+        self.dropped: Counter[DropReason] = Counter()
         self.sent_bytes = self.sent_datagrams = 0
         self._assignment = Assignment({me, *members})
         others = [m for m in self._assignment.members if m != me]
@@ -93,7 +93,7 @@
         self._body: list[tuple[int, float]] = []  # the workers whose sums are told in this round, and of when
         self._next = 0  # place in the order of peers
         self._round_at = self._reviewed_at = now
-        self._reported = 0  # counts told in reports in this round
+        self._entries_reported = 0  # counts told in reports in this round
         self._fresh_at = NEVER
         self._fresh = False
         self.plan = self._plan(0.0, 0.0)
@@ -101,7 +101,7 @@
 
     # Workers
 
-    def listed(self, now: float, worker_id: int, name: str) -> None:
+    def add_worker(self, now: float, worker_id: int, name: str) -> None:
         """A list names a worker; ``name`` tells it apart in all processes, its number only in this one."""
         self._leaving.discard(worker_id)
         before = self._identities.id_of(worker_id) if worker_id in self._identities else None
@@ -117,29 +117,29 @@
         """Follow the list; only what has changed since the last one costs work for each worker."""
         known = self._identities.numbers()
         for worker_id in known - slots_out.keys():
-            self.unlisted(now, worker_id)
+            self.remove_worker(now, worker_id)
         for worker_id in slots_out.keys() - (known - self._leaving):
-            self.listed(now, worker_id, str(identities.get(worker_id, worker_id)))
+            self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
         for worker_id, slots in slots_out.items():
             if slots != self._slots.get(worker_id, 0.0):
-                self.changed(now, worker_id, slots, False)
+                self.record_change(now, worker_id, slots, False)
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
         """Follow a list of changes."""
         for worker_id in gone:
-            self.unlisted(now, worker_id)
+            self.remove_worker(now, worker_id)
         for worker_id, slots in slots_out.items():
             if worker_id not in self._identities or worker_id in self._leaving:
-                self.listed(now, worker_id, str(identities.get(worker_id, worker_id)))
+                self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
             if slots != self._slots.get(worker_id, 0.0):
-                self.changed(now, worker_id, slots, False)
+                self.record_change(now, worker_id, slots, False)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
         """Nothing: slots of kinds of workers are not told in this format."""
         return ()
 
-    def unlisted(self, now: float, worker_id: int) -> None:
+    def remove_worker(self, now: float, worker_id: int) -> None:
         """A worker is listed no more; what is out at it is still reported."""
         if worker_id not in self._identities:
             return
@@ -148,7 +148,7 @@
         else:
             self._forget(worker_id)
 
-    def changed(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """The own slots out at a worker have changed; nothing is told before the next round."""
         if worker_id not in self._identities:
             return ()
@@ -180,11 +180,11 @@
 
     def _follow(self, wire_id: int) -> None:
         self._assignment.add(wire_id)
-        self._aggregator.list_worker(wire_id)
+        self._aggregator.add_worker(wire_id)
 
     def _drop(self, wire_id: int) -> None:
         self._assignment.remove(wire_id)
-        self._aggregator.unlist_worker(wire_id)
+        self._aggregator.remove_worker(wire_id)
         self._sums.forget(wire_id)
 
     def _recount(self, wire_id: int) -> None:
@@ -212,14 +212,14 @@
 
     # What is known
 
-    def out(self, worker_id: int) -> int:
+    def peer_slots(self, worker_id: int) -> int:
         """The slots that the others have out at a worker; 0 where nothing is known."""
         if worker_id not in self._identities:
             return 0
         return self._best(self._identities.id_of(worker_id)).others
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """0: sums are of earlier moments."""
         return 0.0
 
@@ -234,7 +234,7 @@
         """Whether ``out`` is within the age bound."""
         return self.age(now, worker_id) <= self.plan.age_bound_ms
 
-    def life_of(self, member: int) -> int | None:
+    def epoch_of(self, member: int) -> int | None:
         """The epoch of a member's life that was heard last; None: it was never heard."""
         peer = self._peers.get(member)
         return None if peer is None else peer.epoch
@@ -253,26 +253,26 @@
             self._fresh_at, self._fresh = now, self._enough(now, others_heard)
         return self._fresh
 
-    def speaks(self) -> frozenset[int]:
+    def heard_members(self) -> frozenset[int]:
         """The other members that are heard in this format."""
         dead = self._assignment.dead
         return frozenset(m for m, peer in self._peers.items() if peer.epoch is not None and m not in dead)
 
-    def refused_reports(self) -> int:
+    def refused_entries(self) -> int:
         """Entries of reports that were dropped, as their workers were not listed."""
         return self._aggregator.refused
 
-    def figures(self) -> Counter[str]:
+    def counters(self) -> Counter[str]:
         """What was sent and dropped so far."""
-        figures = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in Drop})
-        figures["dropped.refused"] = self.refused_reports()
+        figures = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in DropReason})
+        figures["dropped.refused"] = self.refused_entries()
         figures["sent"] = self.sent_datagrams
         figures["sent_bytes"] = self.sent_bytes
         return figures
 
     def _enough(self, now: float, others_heard: int) -> bool:
         others = len(self._peers)
-        if len(self.speaks()) + others_heard < min(others, ENOUGH + others // ENOUGH_PART):
+        if len(self.heard_members()) + others_heard < min(others, ENOUGH + others // ENOUGH_PART):
             return False
         since = now - self.plan.age_bound_ms
         told, shard = self._sums, self._assignment.shards[self.me]
@@ -302,7 +302,7 @@
         outgoing: list[Outgoing] = []
         self._review(now)
         while self._next < self._due(now) and self._bucket.allows(now):
-            outgoing += self._tell(now, self._order[self._next])
+            outgoing += self._send_round_to(now, self._order[self._next])
             self._next += 1
         if self._next >= len(self._order) and now - self._round_at >= self.plan.round_ms:
             self._begin_round(now)
@@ -316,9 +316,9 @@
 
     def _begin_round(self, now: float) -> None:
         took_ms = now - self._round_at
-        self.plan = self._plan(took_ms, self._reported / max(1, len(self._order)))
+        self.plan = self._plan(took_ms, self._entries_reported / max(1, len(self._order)))
         self._round_at = now
-        self._next = self._reported = 0
+        self._next = self._entries_reported = 0
         self._aggregator.refresh()
         since = now - self.plan.age_bound_ms
         shard = [w for w in self._assignment.shards[self.me] if self._as_of(now, w) >= since]
@@ -334,7 +334,7 @@
         largest = max(len(shard) for shard in shards.values())
         return plan(self.limits, len(self._order), len(shards[self.me]), largest, report_entries, last_round_ms)
 
-    def _tell(self, now: float, member: int) -> list[Outgoing]:
+    def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
         """The datagrams of a round to a peer."""
         self._peers[member].reports.begin_round()
         sums = [] if member in self._assignment.dead else list(self._body)
@@ -344,7 +344,7 @@
             data, reported, more = self._datagram(now, member, left, sums)
             outgoing.append(Outgoing(member, data))
             left -= reported
-            self._reported += reported
+            self._entries_reported += reported
             self._bucket.spend(len(data))
             self.sent_bytes += len(data)
             self.sent_datagrams += 1
@@ -387,24 +387,24 @@
         """Take a datagram; nothing is ever sent in answer."""
         peer = self._peers.get(sender)
         if peer is None:
-            self.dropped[Drop.STRANGER] += 1
-            return NO_NEWS
+            self.dropped[DropReason.STRANGER] += 1
+            return NOTHING_RECEIVED
         try:
             message = decode(data)
         except MessageError:
-            self.dropped[Drop.UNREADABLE] += 1
-            return NO_NEWS
+            self.dropped[DropReason.UNREADABLE] += 1
+            return NOTHING_RECEIVED
         if self._of_this_life(now, sender, peer, message):
             self._take(now, sender, peer, message)
         else:
-            self.dropped[Drop.LATE] += 1
-        return NO_NEWS
+            self.dropped[DropReason.LATE] += 1
+        return NOTHING_RECEIVED
 
     def _take(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
         """Take a message of the sender's present life."""
         late = message.number <= peer.number
         if late:  # no sign of life, but each sum says of when it is, and a report on what it builds
-            self.dropped[Drop.LATE] += 1
+            self.dropped[DropReason.LATE] += 1
         else:
             peer.number = message.number
             peer.heard_at = now
@@ -435,7 +435,7 @@
 
     def _take_report(self, sender: int, message: Message, built_after: float | None) -> None:
         if not self._aggregator.apply(sender, message):
-            self.dropped[Drop.GAP] += 1
+            self.dropped[DropReason.GAP] += 1
         elif not message.more and built_after is not None:
             self._aggregator.cover(sender, built_after, message.dead, self._dead)
 
@@ -443,15 +443,15 @@
         if not message.sums:
             return
         if built_after is None:
-            self.dropped[Drop.UNPROVEN] += 1
+            self.dropped[DropReason.UNPROVEN] += 1
             return
         if not message.dead.within(self._assignment.dead, self._dead):
-            self.dropped[Drop.DISAGREES] += 1
+            self.dropped[DropReason.DISAGREES] += 1
             return
         as_of = built_after - message.age_ms
         unlisted = self._sums.take(message.sums, as_of, self._assignment.owner)
         if unlisted:
-            self.dropped[Drop.UNLISTED] += unlisted
+            self.dropped[DropReason.UNLISTED] += unlisted
 
     # Who lives
 
@@ -471,11 +471,11 @@
             if peer.heard_at >= silent_since:
                 continue
             if member not in self._assignment.dead:
-                self._silent(member)
+                self._on_member_dead(member)
             if now - peer.heard_at > max(self.limits.hold_ms, self.plan.silent_ms):
                 self._aggregator.void(member)
 
-    def _silent(self, member: int) -> None:
+    def _on_member_dead(self, member: int) -> None:
         """A member is dead: tell those who take its workers over, or would if they lived, what is out there."""
         told_before = {worker: self._assignment.above(worker) for worker in self._assignment.shards[member]}
         for worker, _, _ in self._assignment.down(member):
@@ -501,4 +501,4 @@
         self._aggregator.live(self._peers.keys() - dead)
 
 
-__all__ = ["Drop", "Limits", "Outgoing", "Received", "ShardedExchange"]
+__all__ = ["DropReason", "Limits", "Outgoing", "Received", "ShardedExchange"]
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from .all_to_all import AllToAll
-from .exchange import ALL_PEERS, CAPACITY_ANSWERS, NO_NEWS, NOTHING, Outgoing, Random, Received
+from .exchange import ALL_PEERS, CAPACITY_REPLIES, NO_MESSAGES, NOTHING_RECEIVED, Outgoing, Random, Received
 from .ledger import HEARTBEAT_TTL_MS
 from .messages import Kind, decode
 from .sharded import ShardedExchange
@@ -40,8 +40,8 @@
     format.
     """
 
-    __slots__ = ("out", "complete", "_me", "_others", "_all", "_sharded", "_sharded_due", "_wakeup", "_legacy",
-                 "_upgraded", "_lives", "_former", "_identities")
+    __slots__ = ("peer_slots", "complete", "_me", "_others", "_all", "_sharded", "_sharded_due", "_wakeup",
+                 "_legacy", "_upgraded", "_lives", "_former", "_identities")
 
     def __init__(self, now: float, me: int, others: int) -> None:
         """``me``: this scheduler's number among ``others`` + 1; ``now``: its start."""
@@ -64,15 +64,15 @@
 
     def _use_all_to_all(self) -> None:
         if self._sharded is not None:
-            self._former += self._sharded.figures()
+            self._former += self._sharded.counters()
         self._sharded = None
         # Asked for each worker that is ranked: without a call in between.
-        self.out = self._all.out
+        self.peer_slots = self._all.peer_slots
         self.complete = self._all.complete
 
     def _use_sharded(self, now: float) -> ShardedExchange:
         sharded = self._sharded = ShardedExchange(now, self._me, range(self._others + 1), epoch_at(now))
-        self.out = self._sum
+        self.peer_slots = self._sum
         self.complete = self._sums_known
         for peer, heard_at in self._all.heard_at.items():
             self._legacy[peer] = heard_at
@@ -113,12 +113,12 @@
 
     # Telling
 
-    def changed(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """Tell a change as each way does."""
-        told = self._all.changed(now, worker, slots_out, more)
+        told = self._all.record_change(now, worker, slots_out, more)
         if self._sharded is None:
             return told
-        self._sharded.changed(now, worker, slots_out, more)
+        self._sharded.record_change(now, worker, slots_out, more)
         return self._to_legacy(told)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
@@ -128,7 +128,7 @@
     def _to_legacy(self, told: Sequence[Outgoing]) -> Sequence[Outgoing]:
         """What is meant for all peers goes to the legacy ones alone."""
         if not told:
-            return NOTHING
+            return NO_MESSAGES
         return [Outgoing(peer, data) for to, data in told for peer in (self._legacy if to == ALL_PEERS else (to,))]
 
     # Hearing
@@ -143,7 +143,7 @@
             before = sharded.heard_at(sender)
             sharded.on_message(now, sender, data, capacities, random)
             if sharded.heard_at(sender) == before:
-                return NO_NEWS  # garbled, or overtaken: it may be of a life that is over
+                return NOTHING_RECEIVED  # garbled, or overtaken: it may be of a life that is over
             return self._greet(now, sender, sharded, capacities, random)
         received = self._all.on_message(now, sender, data, capacities, random)
         message = decode(data)
@@ -166,12 +166,12 @@
         """Note that a peer speaks the sharded format; tell a new life of it the capacities, by chance."""
         if self._legacy.pop(sender, None) is not None:
             self._upgraded[sender] = now + sharded.plan.age_bound_ms
-        life = sharded.life_of(sender)
+        life = sharded.epoch_of(sender)
         if life is None or life == self._lives.get(sender):
-            return NO_NEWS
+            return NOTHING_RECEIVED
         self._lives[sender] = life
-        if not capacities or random() * self._others >= CAPACITY_ANSWERS:
-            return NO_NEWS
+        if not capacities or random() * self._others >= CAPACITY_REPLIES:
+            return NOTHING_RECEIVED
         return Received([self._all.capacity_message(sender, capacities)])
 
     # Time
@@ -206,23 +206,23 @@
     def _drop(self, among: dict[int, float], peers: Iterable[int]) -> None:
         for peer in peers:
             del among[peer]
-            self._all.forget(peer)
+            self._all.remove_peer(peer)
 
     # What is known
 
     @property
-    def heard_part(self) -> float:
+    def heard_share(self) -> float:
         """The part of all schedulers that is heard all to all; 0 in a large fleet, where sums are seconds old."""
-        return 0.0 if self._sharded is not None else self._all.heard_part
+        return 0.0 if self._sharded is not None else self._all.heard_share
 
     def _sum(self, worker: int) -> int:
         assert self._sharded is not None
-        return self._sharded.out(worker) + self._all.out(worker)
+        return self._sharded.peer_slots(worker) + self._all.peer_slots(worker)
 
-    def figures(self) -> Mapping[str, int]:
+    def counters(self) -> Mapping[str, int]:
         """What was sent and dropped in the sharded format; ``sharded``: 1 in a large fleet."""
         sharded = self._sharded
-        figures = self._former + sharded.figures() if sharded is not None else self._former
+        figures = self._former + sharded.counters() if sharded is not None else self._former
         return {**figures, "sharded": int(sharded is not None),
                 "legacy": len(self._legacy) if sharded is not None else 0}
 
--- a/gaphub/occupancy/status.py
+++ b/gaphub/occupancy/status.py
@@ -14,7 +14,7 @@
 from .sized import SizedExchange
 
 
-class Way(Enum):
+class ExchangeMethod(Enum):
     """How a scheduler tells its occupancy."""
 
     NONE = "none"
@@ -26,7 +26,7 @@
 class OccupancyStatus:
     """What a scheduler knows of the others' occupancy; ages are of the sums, over the listed workers."""
 
-    way: Way
+    way: ExchangeMethod
     complete: bool
     age_p50_ms: float | None = None  # None: no sums, or nothing is known of so many
     age_p99_ms: float | None = None
@@ -35,12 +35,12 @@
 def occupancy_status(exchange: OccupancyExchange, now: float, workers: Iterable[int]) -> OccupancyStatus:
     """The state of an exchange; ``workers``: the listed ones."""
     if isinstance(exchange, NoExchange):
-        return OccupancyStatus(Way.NONE, False)
+        return OccupancyStatus(ExchangeMethod.NONE, False)
     sharded = exchange.sharded if isinstance(exchange, SizedExchange) else None
     if sharded is None:
-        return OccupancyStatus(Way.ALL_TO_ALL, exchange.complete(now))
+        return OccupancyStatus(ExchangeMethod.ALL_TO_ALL, exchange.complete(now))
     ages = sorted(sharded.age(now, worker) for worker in workers)
-    return OccupancyStatus(Way.SHARDED, exchange.complete(now), _part(ages, 0.5), _part(ages, 0.99))
+    return OccupancyStatus(ExchangeMethod.SHARDED, exchange.complete(now), _part(ages, 0.5), _part(ages, 0.99))
 
 
 def _part(ages: list[float], part: float) -> float | None:
--- a/gaphub/occupancy/sums.py
+++ b/gaphub/occupancy/sums.py
@@ -19,7 +19,7 @@
     as_of: float  # ms
 
 
-NOTHING = Sum(0, NEVER)
+UNKNOWN_SUM = Sum(0, NEVER)
 
 
 class Sums:
@@ -50,7 +50,7 @@
     def get(self, wire_id: int) -> Sum:
         """What is believed of a worker."""
         held = self._sums.get(wire_id)
-        return NOTHING if held is None else Sum(*held)
+        return UNKNOWN_SUM if held is None else Sum(*held)
 
     def count_since(self, since: float) -> int:
         """How many sums are not older."""
--- a/tests/occupancy_network.py
+++ b/tests/occupancy_network.py
@@ -16,8 +16,8 @@
 from heapq import heappop, heappush
 
 from gaphub.occupancy.budget import Limits
-from gaphub.occupancy.identity import first_id
-from gaphub.occupancy.sharded import Drop, Received, ShardedExchange
+from gaphub.occupancy.identity import primary_id
+from gaphub.occupancy.sharded import DropReason, Received, ShardedExchange
 from gaphub.occupancy.sums_messages import DeadSet, Message, encode
 
 STEP_MS = 50.0
@@ -65,7 +65,7 @@
         self.exchanges[member] = exchange
         self.due[member] = exchange.take_wakeup() or self.now
         for number, name in self.workers.items():
-            exchange.listed(self.now, number, name)
+            exchange.add_worker(self.now, number, name)
 
     def kill(self, member: int) -> None:
         """A member is gone, and all that it had out."""
@@ -85,7 +85,7 @@
         if count != before:
             self.history[member, worker].append((self.now, count))
             if member in self.exchanges:
-                self.exchanges[member].changed(self.now, worker, count, count > before)
+                self.exchanges[member].record_change(self.now, worker, count, count > before)
 
     def standing(self, member: int, worker: int, since: float) -> int:
         """The slots that a member has had out at a worker ever since."""
@@ -141,9 +141,9 @@
 
     def _take(self, sender: int, peer: int, data: bytes) -> None:
         exchange = self.exchanges[peer]
-        late = exchange.dropped[Drop.LATE]
+        late = exchange.dropped[DropReason.LATE]
         assert exchange.on_message(self.now, sender, data, {}, self.rnd.random) == Received()
-        if exchange.dropped[Drop.LATE] > late:
+        if exchange.dropped[DropReason.LATE] > late:
             return  # what is overtaken is no sign of life
         if self.now - self.heard_at.get((sender, peer), -1e18) > SILENT_MS:
             self.heard_since[sender, peer] = self.now
@@ -167,15 +167,15 @@
                 since = self.now - age
                 stood = sum(self.standing(m, worker, since) for m in self.members
                             if m != member and self.heard(m, member, since))
-                if exchange.out(worker) < stood:
-                    found.append(f"{self.now}: {member} at {worker}: {exchange.out(worker)} of {stood}, "
+                if exchange.peer_slots(worker) < stood:
+                    found.append(f"{self.now}: {member} at {worker}: {exchange.peer_slots(worker)} of {stood}, "
                                  f"age {age}")
         return found
 
     def wrong(self) -> list[str]:
         """The sums that are not what is out."""
-        return [f"{m} at {w}: {e.out(w)}" for m, e in self.exchanges.items() for w in self.workers
-                if e.out(w) != sum(self.count(o, w) for o in self.members if o != m)]
+        return [f"{m} at {w}: {e.peer_slots(w)}" for m, e in self.exchanges.items() for w in self.workers
+                if e.peer_slots(w) != sum(self.count(o, w) for o in self.members if o != m)]
 
     def stale(self) -> list[str]:
         """The sums that are past the age bound."""
@@ -218,7 +218,7 @@
     exchanges = [ShardedExchange(0.0, m, range(members), 1) for m in range(members)]
     first = exchanges[0]
     for number in range(1, workers + 1):
-        first.listed(0.0, number, f"site/worker-{number}")
+        first.add_worker(0.0, number, f"site/worker-{number}")
     for other in exchanges[1:]:
         other._assignment, other._identities = first._assignment, first._identities
         other._aggregator._listed = first._aggregator._listed
@@ -235,7 +235,7 @@
     for _ in range(running):
         tasks.append((rnd.randrange(members), rnd.randrange(1, workers + 1)))
         member, worker, count, more = change(*tasks[-1], 1)
-        exchanges[member].changed(0.0, worker, count, more)
+        exchanges[member].record_change(0.0, worker, count, more)
     step_ms, measured_ms = 100, 10_000
     flying: list[list[tuple[int, bytes]]] = [[] for _ in exchanges]
     out_bytes = out_datagrams = 0
@@ -253,7 +253,7 @@
         arriving, flying = flying, [[] for _ in exchanges]
         began = time.process_time()
         for member, worker, count, more in changes:
-            exchanges[member].changed(now, worker, count, more)
+            exchanges[member].record_change(now, worker, count, more)
         for exchange, datagrams in zip(exchanges, arriving, strict=True):
             for sender, data in datagrams:
                 exchange.on_message(now, sender, data, {}, rnd.random)
@@ -266,7 +266,7 @@
     end = seconds * 1_000.0
     looked = exchanges[::max(1, members // sampled)]
     ages = sorted(e.age(end, w) for e in looked for w in range(1, workers + 1))
-    off = sorted(abs(e.out(w) + counts[e.me][w] - totals[w]) for e in looked for w in range(1, workers + 1))
+    off = sorted(abs(e.peer_slots(w) + counts[e.me][w] - totals[w]) for e in looked for w in range(1, workers + 1))
     share = members * measured_ms / 1_000.0
     return Measured(members, out_bytes / share, out_datagrams / share, out_bytes * (1 - loss) / share,
                     out_datagrams * (1 - loss) / share, 100.0 * spent / share, first.plan.round_ms,
@@ -285,16 +285,16 @@
     exchange = ShardedExchange(0.0, 0, range(members), 1)
     ids = list(range(1, workers + 1))
     for number in ids:
-        exchange.listed(0.0, number, f"site/worker-{number}")
+        exchange.add_worker(0.0, number, f"site/worker-{number}")
     shards: dict[int, list[int]] = {m: [] for m in range(members)}
     for number in ids:
-        wire_id = first_id(f"site/worker-{number}")
+        wire_id = primary_id(f"site/worker-{number}")
         shards[exchange._assignment.add(wire_id)].append(wire_id)
     own = dict.fromkeys(ids, 0)
     for _ in range(running // members):
         own[rnd.choice(ids)] += 1
     for number in ids:
-        exchange.changed(0.0, number, own[number], True)
+        exchange.record_change(0.0, number, own[number], True)
     step_ms, numbers, spent = 100, dict.fromkeys(range(1, members), 0), 0.0
     mine = sorted(shards[0])
     for now in range(step_ms, seconds * 1_000 + 1, step_ms):
@@ -319,7 +319,7 @@
             changes.append((number, own[number]))
         began = time.process_time()
         for number, count in changes:
-            exchange.changed(now, number, count, True)
+            exchange.record_change(now, number, count, True)
         for peer, data in datagrams:
             exchange.on_message(now, peer, data, {}, rnd.random)
         exchange.on_wakeup(now, now, rnd.random)
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -14,9 +14,9 @@
 from gaphub.cli import gaphub
 from gaphub.interface import ListedWorker, ListKind, Request, Settings, Status
 from gaphub.logic import Balancer
-from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, Ledger
+from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, PeerCounts
 from gaphub.occupancy.messages import MESSAGE_BYTES_MAX, Kind, decode, encode, wire_id
-from gaphub.occupancy.pacing import HEARTBEAT_MS, Pacing
+from gaphub.occupancy.pacing import HEARTBEAT_INTERVAL_MS, Pacing
 
 from .fake import SAFE, Recorder, entry
 
@@ -33,9 +33,9 @@
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.binary(max_size=300)), max_size=40))
 def test_whatever_comes_the_sums_stay_those_of_the_entries(messages: list[tuple[int, bytes]]) -> None:
-    ledger = Ledger(4)
+    ledger = PeerCounts(4)
     for at, (sender, data) in enumerate(messages):
-        ledger.take(at * 70.0, sender, bytes([0xD0 | len(data) % 3]) + data)
+        ledger.receive(at * 70.0, sender, bytes([0xD0 | len(data) % 3]) + data)
         sums: Counter[int] = Counter()
         for counts in ledger.counts.values():
             sums.update(counts)
@@ -45,18 +45,18 @@
 @given(st.integers(0, 60), st.dictionaries(WORKERS, st.integers(1, 9), max_size=200), st.randoms())
 def test_all_that_is_told_arrives_once_in_any_order(others: int, table: dict[int, int],
                                                     rnd: random.Random) -> None:
-    pacing, ledger = Pacing(others), Ledger(max(1, others))
-    messages = list(pacing.messages(0.0, Kind.SNAPSHOT_REQUEST, table.items()))
+    pacing, ledger = Pacing(others), PeerCounts(max(1, others))
+    messages = list(pacing.encode_broadcast(0.0, Kind.SNAPSHOT_REQUEST, table.items()))
     first, *more = messages
     rnd.shuffle(more)
     for data in [first, *more]:
-        ledger.take(0.0, 1, data)
+        ledger.receive(0.0, 1, data)
     if len(messages) == 1:
         for worker in table:
             same = [n for w, n in table.items() if wire_id(w) == wire_id(worker)]
-            assert ledger.out(worker) == min(255, sum(same))
-    for data in pacing.messages(1.0, Kind.SNAPSHOT, ()):
-        ledger.take(1.0, 1, data)
+            assert ledger.peer_slots(worker) == min(255, sum(same))
+    for data in pacing.encode_broadcast(1.0, Kind.SNAPSHOT, ()):
+        ledger.receive(1.0, 1, data)
     assert not ledger.total
 
 
@@ -67,36 +67,36 @@
     waits: dict[int, float] = {}
     for gap, worker, more in changes:
         if pacing.flush_at and pacing.flush_at <= now + gap:
-            list(pacing.messages(pacing.flush_at, Kind.DELTA, ()))
+            list(pacing.encode_broadcast(pacing.flush_at, Kind.DELTA, ()))
             waits.clear()
         now += gap
         waits.setdefault(worker, now)
-        if pacing.changed(now, worker, more):
-            list(pacing.messages(now, Kind.DELTA, ()))
+        if pacing.record_change(now, worker, more):
+            list(pacing.encode_broadcast(now, Kind.DELTA, ()))
             waits.clear()
         else:
             assert not more and others >= 8
         assert set(waits) == pacing.pending
-        assert all(at <= now <= at + pacing.hold_ms for at in waits.values())
+        assert all(at <= now <= at + pacing.flush_delay_ms for at in waits.values())
 
 
 def test_a_quiet_gateway_speaks_often_enough_to_be_believed() -> None:
     for others in (1, 3, 39, 100):
-        pacing, ledger, now = Pacing(others), Ledger(1), 0.0
+        pacing, ledger, now = Pacing(others), PeerCounts(1), 0.0
         for _ in range(300):
-            due = pacing.next_turn(now)
-            for data in pacing.messages(now, due, ()) if due is not None else ():
-                ledger.take(now, 1, data)
-            now += HEARTBEAT_MS * 1.2
+            due = pacing.next_tick(now)
+            for data in pacing.encode_broadcast(now, due, ()) if due is not None else ():
+                ledger.receive(now, 1, data)
+            now += HEARTBEAT_INTERVAL_MS * 1.2
             assert ledger.complete(now)
         assert not ledger.complete(now + HEARTBEAT_TTL_MS)
 
 
 def test_in_a_large_fleet_some_may_be_silent_and_in_a_small_one_none() -> None:
     for others, silent, known in ((2, 1, False), (3, 1, False), (39, 28, True), (39, 35, False)):
-        ledger = Ledger(others)
+        ledger = PeerCounts(others)
         for sender in range(others - silent):
-            ledger.take(0.0, sender, encode(Kind.SNAPSHOT_REQUEST, 0, []))
+            ledger.receive(0.0, sender, encode(Kind.SNAPSHOT_REQUEST, 0, []))
         assert ledger.complete(1.0) is known
 
 
--- a/tests/test_occupancy.py
+++ b/tests/test_occupancy.py
@@ -13,9 +13,9 @@
 from gaphub.occupancy.all_to_all import AllToAll
 from gaphub.occupancy.choice import PRICE_MAX, exchange_for
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange, OccupancyExchange, Outgoing
-from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, REORDER_MS, Ledger
+from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, REORDER_MS, PeerCounts
 from gaphub.occupancy.messages import DELTA_BYTES, ENTRIES_MAX, MESSAGE_BYTES_MAX, Kind, decode, encode
-from gaphub.occupancy.pacing import HEARTBEAT_MS, HOLD_MS, PEERS_PER_STEP
+from gaphub.occupancy.pacing import FLUSH_DELAY_MS, HEARTBEAT_INTERVAL_MS, PEERS_PER_STEP
 from gaphub.occupancy.sized import LARGE_FROM_PEERS, SizedExchange
 
 WORKERS = range(1, 9)
@@ -61,7 +61,7 @@
 
     def change(self, me: int, worker: int, by: int) -> None:
         self.own[me][worker] += by
-        self.carry(me, self.all[me].changed(self.now, worker, self.own[me][worker], by > 0))
+        self.carry(me, self.all[me].record_change(self.now, worker, self.own[me][worker], by > 0))
 
     def wait(self, ms: float) -> None:
         until = self.now + ms
@@ -85,7 +85,7 @@
         schedulers: int, changes: list[tuple[int, int, bool, float]], seed: int) -> None:
     site = Site(schedulers, random.Random(seed).random)
     site.wait(0.0)
-    held_ms = HOLD_MS * ((schedulers - 1) // PEERS_PER_STEP)
+    held_ms = FLUSH_DELAY_MS * ((schedulers - 1) // PEERS_PER_STEP)
     for nth, any_worker, wanted, pause in changes:
         taken = [(who, w) for who, own in enumerate(site.own) for w in WORKERS if own[w]]
         more = wanted or not taken
@@ -94,11 +94,11 @@
         for other, exchange in enumerate(site.all):
             assert exchange.complete(site.now)
             if more and other != me:  # a send is known at once
-                assert exchange.out(worker) >= site.out_of_others(other)[worker]
+                assert exchange.peer_slots(worker) >= site.out_of_others(other)[worker]
         site.wait(pause)
     site.wait(held_ms)
     for me, exchange in enumerate(site.all):
-        assert {w: exchange.out(w) for w in WORKERS} == site.out_of_others(me)
+        assert {w: exchange.peer_slots(w) for w in WORKERS} == site.out_of_others(me)
 
 
 @few
@@ -110,8 +110,8 @@
     site.sent.clear()
     for _ in range(20):
         site.draws = 0
-        due = sum(at <= site.now + 0.75 * HEARTBEAT_MS for wakeups in site.wakeups for at in wakeups)
-        site.wait(0.75 * HEARTBEAT_MS)  # less than any turn is long
+        due = sum(at <= site.now + 0.75 * HEARTBEAT_INTERVAL_MS for wakeups in site.wakeups for at in wakeups)
+        site.wait(0.75 * HEARTBEAT_INTERVAL_MS)  # less than any turn is long
         assert site.draws == due
         assert all(len(wakeups) == 1 for wakeups in site.wakeups)
         assert all(exchange.complete(site.now) for exchange in site.all)
@@ -133,7 +133,7 @@
     site.carry(2, ())
     site.wait(0.0)
     for me, exchange in enumerate(site.all):
-        assert {w: exchange.out(w) for w in WORKERS} == site.out_of_others(me)
+        assert {w: exchange.peer_slots(w) for w in WORKERS} == site.out_of_others(me)
     assert site.capacities[2] == {0: 4}  # at most four peers: each answers
 
 
@@ -147,7 +147,7 @@
         if named:
             listed[worker] = float(out)
         exchange.set_workers(0.0, listed, {})
-        (told,) = exchange.changed(0.0, worker, float(out), True)
+        (told,) = exchange.record_change(0.0, worker, float(out), True)
         assert decode(told.data) == (Kind.DELTA, told.data[1], {worker: out if named else 0})
     replies = exchange.on_message(0.0, 1, encode(Kind.SNAPSHOT_REQUEST, 0, []), {}, lambda: 0.9).replies
     snapshot = decode(replies[0].data)
@@ -178,10 +178,10 @@
 
 @given(st.integers(0, 255), st.integers(1, 100).flatmap(lambda n: st.permutations(range(n))))
 def test_of_messages_that_overtake_each_other_the_latest_holds(first: int, order: list[int]) -> None:
-    ledger = Ledger(1)
+    ledger = PeerCounts(1)
     for at, nth in enumerate(order):
-        ledger.take(at * REORDER_MS / 101, 0, encode(Kind.DELTA, first + nth, [(7, 1 + nth)]))
-    assert ledger.out(7) == len(order)
+        ledger.receive(at * REORDER_MS / 101, 0, encode(Kind.DELTA, first + nth, [(7, 1 + nth)]))
+    assert ledger.peer_slots(7) == len(order)
 
 
 @pytest.mark.parametrize("others", [1, 39])
@@ -197,12 +197,12 @@
 def test_without_an_exchange_nothing_is_told_and_nothing_known() -> None:
     exchange: OccupancyExchange = NoExchange()
     exchange.set_workers(0.0, {1: 2.0}, {})
-    told = [*exchange.changed(0.0, 1, 3.0, True), *exchange.announce_capacity({0: 4.0}),
+    told = [*exchange.record_change(0.0, 1, 3.0, True), *exchange.announce_capacity({0: 4.0}),
             *exchange.on_wakeup(0.0, 0.0, lambda: 0.0)]
     found = exchange.on_message(0.0, 1, encode(Kind.SNAPSHOT_REQUEST, 0, [(1, 5)]), {0: 4.0}, lambda: 0.0)
     assert not told and not found.replies and not found.capacities
     assert exchange.take_wakeup() is None
-    assert not exchange.complete(0.0) and exchange.out(1) == 0
+    assert not exchange.complete(0.0) and exchange.peer_slots(1) == 0
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.binary(max_size=9)), max_size=20))
@@ -212,18 +212,18 @@
     for sender, count in messages:
         exchange.on_message(0.0, sender, encode(Kind.SNAPSHOT, 0, [(3, len(count))]), {}, lambda: 0.0)
         told[sender] = len(count)
-        assert exchange.out(3) == sum(told.values())
+        assert exchange.peer_slots(3) == sum(told.values())
         assert exchange.complete(0.0) == (len(told) >= 3)
 
 
 @given(st.integers(0, 255), st.integers(-300, 300), st.floats(0.0, 10.0 * HEARTBEAT_TTL_MS))
 def test_a_peer_that_is_heard_again_counts_whatever_its_sequence_number(first: int, step: int,
                                                                         pause: float) -> None:
-    ledger = Ledger(1)
-    ledger.take(0.0, 0, encode(Kind.SNAPSHOT, first, [(7, 1), (8, 1)]))
+    ledger = PeerCounts(1)
+    ledger.receive(0.0, 0, encode(Kind.SNAPSHOT, first, [(7, 1), (8, 1)]))
     silent = pause > HEARTBEAT_TTL_MS
     assert ledger.complete(pause) is not silent
-    ledger.take(pause, 0, encode(Kind.DELTA, first + step, [(7, 2)]))
+    ledger.receive(pause, 0, encode(Kind.DELTA, first + step, [(7, 2)]))
     overtaken = pause < REORDER_MS and 0 < -step % 256 < 128
     assert ledger.complete(pause)
-    assert (ledger.out(7), ledger.out(8)) == (1 if overtaken else 2, 0 if silent else 1)
+    assert (ledger.peer_slots(7), ledger.peer_slots(8)) == (1 if overtaken else 2, 0 if silent else 1)
--- a/tests/test_occupancy_at_size.py
+++ b/tests/test_occupancy_at_size.py
@@ -16,12 +16,12 @@
 
 from gaphub.occupancy.assignment import Assignment
 from gaphub.occupancy.budget import LARGE_PART, Limits, SumOrder, TokenBucket, plan
-from gaphub.occupancy.identity import Identities, first_id, second_id
-from gaphub.occupancy.ledger import Ledger
+from gaphub.occupancy.identity import Identities, fallback_id, primary_id
+from gaphub.occupancy.ledger import PeerCounts
 from gaphub.occupancy.messages import Kind
 from gaphub.occupancy.messages import encode as encode_counts
 from gaphub.occupancy.reports import PeerReports
-from gaphub.occupancy.sharded import Drop, Received, ShardedExchange
+from gaphub.occupancy.sharded import DropReason, Received, ShardedExchange
 from gaphub.occupancy.sums_messages import (
     AGE_MAX_MS,
     COUNT_MAX,
@@ -80,7 +80,7 @@
 def test_shards_are_even_and_whoever_goes_moves_its_own_alone(members: int) -> None:
     assignment = Assignment(range(members))
     for number in range(4_000):
-        assignment.add(first_id(f"site/worker-{number}"))
+        assignment.add(primary_id(f"site/worker-{number}"))
     mean = 4_000 / members
     assert max(len(s) for s in assignment.shards.values()) < mean + 6 * sqrt(mean)
     before = dict(assignment.owner)
@@ -112,7 +112,7 @@
 # Ids
 
 def test_names_that_share_an_id_are_told_apart_in_any_order() -> None:
-    assert first_id(COLLIDING[0]) == first_id(COLLIDING[1])
+    assert primary_id(COLLIDING[0]) == primary_id(COLLIDING[1])
     found = set()
     for names in permutations([*COLLIDING, "another"]):
         identities = Identities()
@@ -135,8 +135,8 @@
             names[number] = name
         else:
             names.pop(number, None)
-        sharing = [first_id(name) for name in set(names.values())]
-        due = {n: first_id(x) if sharing.count(first_id(x)) == 1 else second_id(x) for n, x in names.items()}
+        sharing = [primary_id(name) for name in set(names.values())]
+        due = {n: primary_id(x) if sharing.count(primary_id(x)) == 1 else fallback_id(x) for n, x in names.items()}
         assert {n: identities.id_of(n) for n in names} == due
         for other, before, after in renamed:
             assert ids.pop(other, before) == before
@@ -152,11 +152,11 @@
     name = network.workers[1_000]
     network.workers[2_000] = name  # two numbers of one name cannot be told apart
     for exchange in network.exchanges.values():
-        exchange.listed(0.0, 2_000, name)
+        exchange.add_worker(0.0, 2_000, name)
     network.set(0, 1_000, 3)
     network.set(0, 2_000, 4)
     network.run(8_000)
-    assert [network.exchanges[1].out(w) for w in (1_000, 2_000)] == [7, 7]
+    assert [network.exchanges[1].peer_slots(w) for w in (1_000, 2_000)] == [7, 7]
 
 
 # Messages
@@ -216,7 +216,7 @@
 # What comes in
 
 def _state(exchange: ShardedExchange, workers: range) -> list[tuple[int, float]]:
-    return [(exchange.out(w), exchange.age(1e6, w)) for w in workers]
+    return [(exchange.peer_slots(w), exchange.age(1e6, w)) for w in workers]
 
 
 @given(SEEDS, st.lists(st.tuples(st.integers(-1, 5), st.binary(max_size=270)), max_size=20))
@@ -244,19 +244,19 @@
         for data in (bytes([VERSION, 0]) + tail, bytes([VERSION, 0, 0, 0, 0, 9, 0, 0, 0, 99, 0, 0, 0, 0]) + tail):
             assert exchange.on_message(network.now, 1, data, {}, random.random) == Received()
     network.run(1_000, 2)
-    assert all(exchange.out(w) == 0 for w in (1, 2, 999, 1_004))
+    assert all(exchange.peer_slots(w) == 0 for w in (1, 2, 999, 1_004))
 
 
 def test_entries_for_workers_never_listed_are_counted_and_dropped() -> None:
     network = Network(3, 3, 6)
     for exchange in network.exchanges.values():
         if exchange.me:
-            exchange.listed(0.0, 77, "site/only-here")
-    network.exchanges[1].changed(0.0, 77, 5, True)
+            exchange.add_worker(0.0, 77, "site/only-here")
+    network.exchanges[1].record_change(0.0, 77, 5, True)
     network.run(30_000)
     first = network.exchanges[0]
-    assert first.out(77) == 0 and first.age(network.now, 77) > 1e9
-    assert first.dropped[Drop.UNLISTED] + first.refused_reports() > 0
+    assert first.peer_slots(77) == 0 and first.age(network.now, 77) > 1e9
+    assert first.dropped[DropReason.UNLISTED] + first.refused_entries() > 0
 
 
 @SIMULATED
@@ -267,10 +267,10 @@
     late = network.rnd.choice(network.members)
     for exchange in network.exchanges.values():
         if exchange.me != late:
-            exchange.listed(0.0, 77, network.workers[77])
+            exchange.add_worker(0.0, 77, network.workers[77])
     network.set((late + 1) % 4, 77, 5)
     network.run(6_000)
-    network.exchanges[late].listed(network.now, 77, network.workers[77])
+    network.exchanges[late].add_worker(network.now, 77, network.workers[77])
     for _ in range(24):
         network.run(500, 1)
         assert network.understated() == []
@@ -290,17 +290,17 @@
     def twice(now: float, sender: int, data: bytes, *rest: Any) -> Received:
         plain(now, sender, data, *rest)
         taken.append((sender, data))
-        before = _state(exchange, range(1_000, 1_006)), exchange.speaks()
+        before = _state(exchange, range(1_000, 1_006)), exchange.heard_members()
         for again in network.rnd.sample(taken, min(3, len(taken))):
             plain(now, *again, *rest)
         plain(now, sender, data, *rest)
-        assert (_state(exchange, range(1_000, 1_006)), exchange.speaks()) == before
+        assert (_state(exchange, range(1_000, 1_006)), exchange.heard_members()) == before
         return Received()
 
     exchange.on_message = twice  # type: ignore[method-assign, assignment]
     network.run(15_000, 3)
     assert len(taken) > 20
-    assert exchange.dropped[Drop.LATE] >= len(taken)
+    assert exchange.dropped[DropReason.LATE] >= len(taken)
 
 
 @given(SEEDS, st.sampled_from(Kind), st.integers(0, 255),
@@ -310,37 +310,37 @@
     network = Network(seed, 3, 4)
     network.run(4_000, 2)
     exchange, workers = network.exchanges[0], range(1_000, 1_004)
-    before = _state(exchange, workers), exchange.speaks()
+    before = _state(exchange, workers), exchange.heard_members()
     old = encode_counts(what, number, list(table.items()))
     for data in (old, b"\xc2\x01", b"gh1" + old[:200]):
         exchange.on_message(network.now, 1, data, {}, random.random)
-    assert (_state(exchange, workers), exchange.speaks()) == before
-    assert exchange.dropped[Drop.UNREADABLE] == 3
-    ledger = Ledger(2)
-    ledger.take(0.0, 1, old)
+    assert (_state(exchange, workers), exchange.heard_members()) == before
+    assert exchange.dropped[DropReason.UNREADABLE] == 3
+    ledger = PeerCounts(2)
+    ledger.receive(0.0, 1, old)
     totals, heard = dict(ledger.total), dict(ledger.heard_at)
     network.now += 2_000
     told = exchange.on_wakeup(network.now, network.now, random.random)
     assert told
     for _, data in told:
-        assert ledger.take(1.0, 2, data) is None
+        assert ledger.receive(1.0, 2, data) is None
     assert (ledger.total, ledger.heard_at) == (totals, heard)
 
 
 def test_a_list_that_names_fewer_workers_leaves_those_with_slots_out_reported() -> None:
     network = Network(5, 3, 30)
     assignment = Assignment(range(3))  # a worker that its aggregator does not list has no new sums
-    gone, kept, idle = [n for n, name in network.workers.items() if assignment.add(first_id(name))][:3]
+    gone, kept, idle = [n for n, name in network.workers.items() if assignment.add(primary_id(name))][:3]
     network.set(0, gone, 2)
     network.run(8_000)
     first, second = network.exchanges[0], network.exchanges[1]
     first.set_workers(0.0, {kept: 1.5, 4_711: 9.0}, {})
     network.run(4_000)
-    assert [second.out(w) for w in (gone, kept, idle)] == [2, 2, 0]
-    assert first.age(network.now, idle) > 1e9 and first.out(4_711) == 0
-    first.changed(network.now, gone, 0.0, False)
+    assert [second.peer_slots(w) for w in (gone, kept, idle)] == [2, 2, 0]
+    assert first.age(network.now, idle) > 1e9 and first.peer_slots(4_711) == 0
+    first.record_change(network.now, gone, 0.0, False)
     network.run(4_000)
-    assert [second.out(w) for w in (gone, kept, idle)] == [0, 2, 0]
+    assert [second.peer_slots(w) for w in (gone, kept, idle)] == [0, 2, 0]
     assert first.age(network.now, gone) > 1e9
 
 
@@ -571,7 +571,7 @@
         network.run(2_000, 2)
         assert network.understated() == []
     assert network.stale() == []
-    assert [e.speaks() for e in network.exchanges.values()] == [
+    assert [e.heard_members() for e in network.exchanges.values()] == [
         frozenset(m for m in network.members if (m < 10) == (me < 10) and m != me) for me in network.members]
     network.cut = lambda a, b: False
     back = network.now
--- a/tests/test_occupancy_sized.py
+++ b/tests/test_occupancy_sized.py
@@ -14,9 +14,9 @@
 from gaphub.metrics import Counters
 from gaphub.occupancy import sized
 from gaphub.occupancy.all_to_all import AllToAll
-from gaphub.occupancy.exchange import ALL_PEERS, CAPACITY_ANSWERS, Outgoing
+from gaphub.occupancy.exchange import ALL_PEERS, CAPACITY_REPLIES, Outgoing
 from gaphub.occupancy.messages import Kind, decode, encode
-from gaphub.occupancy.sharded import Drop
+from gaphub.occupancy.sharded import DropReason
 from gaphub.occupancy.sized import (
     EPOCH_MS,
     LARGE_FROM_WORKERS,
@@ -117,7 +117,7 @@
     def change(self, member: int, worker: int, by: int) -> None:
         own = self.own[member]
         own[worker] = max(0, own[worker] + by)
-        self.carry(member, self.exchanges[member].changed(self.now, worker, own[worker], by > 0))
+        self.carry(member, self.exchanges[member].record_change(self.now, worker, own[worker], by > 0))
 
     def busy(self, changes: int) -> None:
         for _ in range(changes):
@@ -158,7 +158,7 @@
 
     def known(self, member: int) -> dict[int, int]:
         """What a scheduler believes of that."""
-        return {w: self.exchanges[member].out(w) for w in self.workers}
+        return {w: self.exchanges[member].peer_slots(w) for w in self.workers}
 
     def bound_ms(self) -> float:
         """The age bound of sums, the largest of those that are stated."""
@@ -204,7 +204,7 @@
         if what == "change":
             worker = number % 6 + 1
             listed[worker] = float(sender)
-            both(lambda way, _: way.changed(now, worker, float(sender), sender > 4))  # noqa: B023
+            both(lambda way, _: way.record_change(now, worker, float(sender), sender > 4))  # noqa: B023
         elif what == "list":
             listed = {w: listed.get(w, 0.0) for w in range(1, number % LARGE)}
             both(lambda way, _: way.set_workers(now, dict(listed), {}))  # noqa: B023
@@ -220,9 +220,9 @@
                 bytes((VERSION if what == "sums" else 0xD0 + number, number)) + bytes(sender))
             both(lambda way, draw: way.on_message(now, sender % others, data, {0: 4.0}, draw))  # noqa: B023
         for worker in range(8):
-            assert ways[0].out(worker) == ways[1].out(worker)
+            assert ways[0].peer_slots(worker) == ways[1].peer_slots(worker)
         assert ways[0].complete(now) == ways[1].complete(now)
-        assert ways[1].heard_part == ways[0].heard_part > 0.0
+        assert ways[1].heard_share == ways[0].heard_share > 0.0
 
 
 def test_the_borders_are_as_documented_and_wide_enough_to_stay_on_one_side() -> None:
@@ -231,7 +231,7 @@
     for workers, large in ((LARGE - 1, False), (LARGE, True), (SMALL, True), (SMALL - 1, False), (SMALL, False),
                            (LARGE - 1, False), (LARGE, True)):
         exchange.set_workers(1e9, dict.fromkeys(range(workers), 0.0), {})
-        assert (exchange.sharded is not None) is large is (exchange.heard_part == 0.0)
+        assert (exchange.sharded is not None) is large is (exchange.heard_share == 0.0)
 
 
 # Across the border
@@ -283,9 +283,9 @@
     fleet.run(between_ms)
     fleet.workers = workers
     fleet.take_list(0)
-    before = {m: fleet.exchanges[m].sharded.dropped[Drop.LATE] for m in fleet.members[1:]}  # type: ignore[union-attr]
+    before = {m: fleet.exchanges[m].sharded.dropped[DropReason.LATE] for m in fleet.members[1:]}  # type: ignore[union-attr]
     fleet.run(4_000.0)
-    after = {m: fleet.exchanges[m].sharded.dropped[Drop.LATE] for m in fleet.members[1:]}  # type: ignore[union-attr]
+    after = {m: fleet.exchanges[m].sharded.dropped[DropReason.LATE] for m in fleet.members[1:]}  # type: ignore[union-attr]
     assert after == before
 
 
@@ -330,9 +330,9 @@
 
 def uncovered(fleet: Fleet) -> list[str]:
     """Sums that are used and lack what has stood for longer than they may be old."""
-    return [f"{fleet.now}: {m} at {w}: {e.out(w)} of {others[w]}" for m, e in fleet.exchanges.items()
+    return [f"{fleet.now}: {m} at {w}: {e.peer_slots(w)} of {others[w]}" for m, e in fleet.exchanges.items()
             if e.complete(fleet.now) for others in (fleet.of_others(m),) for w in fleet.workers
-            if e.out(w) < others[w]]
+            if e.peer_slots(w) < others[w]]
 
 
 @FEW
@@ -431,7 +431,7 @@
     fleet.run(20_000.0, changes=5)
     assert not counts_told(fleet.sent)
     capacities = [m for m in fleet.sent if m[2][0] == 0xD0 | Kind.CAPACITY]
-    assert len(capacities) <= 3 * CAPACITY_ANSWERS * (len(fleet.members) + 1)
+    assert len(capacities) <= 3 * CAPACITY_REPLIES * (len(fleet.members) + 1)
     assert {data[0] for _, _, data in fleet.sent} <= {VERSION, 0xD0 | Kind.CAPACITY}
 
 
@@ -471,7 +471,7 @@
             if wakeup > now:
                 break
         exchange.complete(now)
-        assert all(exchange.out(w) >= 0 for w in range(LARGE))
+        assert all(exchange.peer_slots(w) >= 0 for w in range(LARGE))
 
 
 def test_entries_of_workers_that_were_never_listed_are_counted_and_dropped() -> None:
@@ -485,8 +485,8 @@
     unlisted = {0xFFFF_FF01: 3, 0xFFFF_FF02: 1}
     fleet.hear(0, 5, encode_sums(Message(peer.epoch or 0, peer.number + 1, peer.number, False, sharded.epoch,
                                         peer.reports.number, 0.0, DeadSet.of(set()), unlisted, unlisted)))
-    assert sharded.refused_reports() == 2
-    assert sharded.dropped[Drop.UNLISTED] == 2
+    assert sharded.refused_entries() == 2
+    assert sharded.dropped[DropReason.UNLISTED] == 2
     fleet.run(8_000.0)
     assert {m: fleet.known(m) for m in fleet.members} == before
     assert epoch_at(fleet.now) > sharded.epoch >= 1
@@ -495,17 +495,18 @@
 def test_operators_see_which_way_is_used_and_what_it_dropped() -> None:
     fleet = Fleet(10, 9, SMALL - 1, old=[8])
     exchange = fleet.exchanges[0]
-    assert exchange.figures() == {"sharded": 0, "legacy": 0}
+    assert exchange.counters() == {"sharded": 0, "legacy": 0}
     fleet.lists(LARGE)
     fleet.run(8_000.0)
-    figures = exchange.figures()
+    figures = exchange.counters()
     sent = [len(data) for sender, _, data in fleet.sent if sender == 0 and data[0] == VERSION]
     assert figures == {"sharded": 1, "legacy": 1, "sent": len(sent), "sent_bytes": sum(sent)}
     fleet.hear(0, 1, bytes([VERSION]))
-    assert exchange.figures() == {**figures, "dropped.unreadable": 1}
+    assert exchange.counters() == {**figures, "dropped.unreadable": 1}
     fleet.lists(SMALL - 1)
-    assert exchange.figures() == {**figures, "dropped.unreadable": 1, "sharded": 0, "legacy": 0}
+    assert exchange.counters() == {**figures, "dropped.unreadable": 1, "sharded": 0, "legacy": 0}
     counters = Counters()
     counters.add("calls.sent")
-    counters.sources["occupancy"] = exchange.figures
-    assert counters.snapshot() == {"calls.sent": 1, **{f"occupancy.{k}": n for k, n in exchange.figures().items()}}
+    counters.sources["occupancy"] = exchange.counters
+    assert counters.snapshot() == {"calls.sent": 1,
+                                   **{f"occupancy.{k}": n for k, n in exchange.counters().items()}}
--- a/tests/test_occupancy_updates.py
+++ b/tests/test_occupancy_updates.py
@@ -60,7 +60,7 @@
     def change(self, worker: int, slots: int) -> None:
         """Tell it this scheduler's slots out at a worker, if it is listed."""
         if worker in self.listed:
-            self.way.changed(1.0, worker, float(slots), slots > self.listed[worker])
+            self.way.record_change(1.0, worker, float(slots), slots > self.listed[worker])
             self.listed[worker] = float(slots)
             self._asked()
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -35,7 +35,7 @@
 from gaphub.lab.scale.sampling import Sample, measured
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan, read_scenario
 from gaphub.net.peers import HEARTBEAT_TYPE
-from gaphub.occupancy.ledger import Ledger
+from gaphub.occupancy.ledger import PeerCounts
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("schedulers", [5, 12, 60])
 def test_what_hollow_schedulers_say_is_their_table(schedulers: int) -> None:
     fleet, said = _play(_plan(schedulers, 200.0, 3_000), 4.0)
-    ledger, now = Ledger(schedulers - 1), 4_000.0
+    ledger, now = PeerCounts(schedulers - 1), 4_000.0
     for i, one in enumerate(fleet.schedulers):  # the ends that still wait for company
         said += [(now, i, data) for data in one.say(now, DELTA)]
     beats = 0
@@ -204,7 +204,7 @@
             continue
         assert decode(data) is not None
         assert len(data) <= MESSAGE_BYTES_MAX
-        assert ledger.take(at, i, data) is not None
+        assert ledger.receive(at, i, data) is not None
     assert beats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.pace) * 0.5
     assert len({wire_id(n) for n in fleet.numbers}) == len(fleet.numbers)  # else sums would have to be compared
     for i, one in enumerate(fleet.schedulers):
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -21,10 +21,10 @@
 from gaphub.occupancy.all_to_all import AllToAll
 from gaphub.occupancy.budget import Limits
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange
-from gaphub.occupancy.sharded import Drop, ShardedExchange
+from gaphub.occupancy.sharded import DropReason, ShardedExchange
 from gaphub.occupancy.sized import LARGE_FROM_PEERS, LARGE_FROM_WORKERS, SizedExchange
+from gaphub.occupancy.status import ExchangeMethod as Spoken
 from gaphub.occupancy.status import OccupancyStatus, occupancy_status
-from gaphub.occupancy.status import Way as Spoken
 from gaphub.occupancy.sums_messages import MESSAGE_BYTES_MAX, decode
 
 from .occupancy_network import at_size
@@ -95,8 +95,8 @@
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
     for one in real:
         for worker in range(WORKERS):
-            one.listed(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
-            one.changed(0.0, worker_number(worker), float(_own(one.me, worker)), True)
+            one.add_worker(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
+            one.record_change(0.0, worker_number(worker), float(_own(one.me, worker)), True)
     played = Played(ShardedFleet(plan, 0.0), real)
     played.run(STEADY_MS, rnd)
     played.steady_drops = [sum(one.dropped.values()) for one in real]
@@ -130,21 +130,21 @@
 def test_real_exchanges_are_complete_and_drop_nothing_in_the_steady_state(played: Played) -> None:
     for one, before in zip(played.real, played.steady_drops, strict=True):
         assert one.complete(played.now)
-        assert len(one.speaks()) == SCHEDULERS - 1
+        assert len(one.heard_members()) == SCHEDULERS - 1
         assert sum(one.dropped.values()) == before, one.dropped
-        assert not one.dropped[Drop.DISAGREES]
-        assert not one.dropped[Drop.UNREADABLE]
-        assert not one.dropped[Drop.STRANGER]
-        assert not one.dropped[Drop.UNLISTED]
-        assert one.refused_reports() == 0
+        assert not one.dropped[DropReason.DISAGREES]
+        assert not one.dropped[DropReason.UNREADABLE]
+        assert not one.dropped[DropReason.STRANGER]
+        assert not one.dropped[DropReason.UNLISTED]
+        assert one.refused_entries() == 0
 
 
 def test_hollow_exchanges_drop_nothing_either(played: Played) -> None:
     for hollow in played.fleet.exchanges:
-        assert not hollow.dropped[Drop.GAP]
-        assert not hollow.dropped[Drop.DISAGREES]
-        assert not hollow.dropped[Drop.LATE]
-        assert hollow.refused_reports() == 0
+        assert not hollow.dropped[DropReason.GAP]
+        assert not hollow.dropped[DropReason.DISAGREES]
+        assert not hollow.dropped[DropReason.LATE]
+        assert hollow.refused_entries() == 0
         assert not hollow._assignment.dead
 
 
@@ -157,7 +157,7 @@
             since = played.now - age - STEP_MS
             hollow = [totals.get(wire_id, 0) for at, totals in played.totals if at >= since]
             other = _own(1 - one.me, worker)
-            assert min(hollow) + other <= one.out(worker_number(worker)) <= max(hollow) + other
+            assert min(hollow) + other <= one.peer_slots(worker_number(worker)) <= max(hollow) + other
 
 
 def test_what_is_believed_is_all_that_is_out_once_nothing_changes() -> None:
@@ -167,7 +167,7 @@
     for one in played.real:
         for worker in range(WORKERS):
             out = played.fleet.shared.out.get(played.wire_id(worker), 0)
-            assert one.out(worker_number(worker)) == out + _own(1 - one.me, worker)
+            assert one.peer_slots(worker_number(worker)) == out + _own(1 - one.me, worker)
 
 
 def test_hollow_schedulers_spend_what_a_real_one_spends(played: Played) -> None:
