--- a/gaphub/occupancy/assignment.py
+++ b/gaphub/occupancy/assignment.py
@@ -12,18 +12,18 @@
 
 _BITS_64 = (1 << 64) - 1
 _BITS_60 = (1 << 60) - 1
-_NONE: frozenset[int] = frozenset()
+_EMPTY: frozenset[int] = frozenset()
 
 
 class Move(NamedTuple):
     """A worker whose owner has changed."""
 
     worker: int
-    before: int
-    after: int
+    old_owner: int
+    new_owner: int
 
 
-def _mixed(number: int) -> int:
+def _mix64(number: int) -> int:
     """64 bits that depend on all bits of a number (the finalizer of splitmix64); odd, so that no bit is lost."""
     number = (number + 0x9E3779B97F4A7C15) & _BITS_64
     number = ((number ^ (number >> 30)) * 0xBF58476D1CE4E5B9) & _BITS_64
@@ -34,7 +34,7 @@
 class Assignment:
     """Owners of workers among members, of whom some are dead for now."""
 
-    __slots__ = ("members", "dead", "owner", "shards", "_factors", "_above", "_parked")
+    __slots__ = ("members", "dead", "owner", "shards", "_factors", "_dead_above", "_displaced")
 
     def __init__(self, members: Iterable[int]) -> None:
         """``members``: all that may ever live, at least one; all are taken to live."""
@@ -44,22 +44,22 @@
         self.dead: set[int] = set()
         self.owner: dict[int, int] = {}
         self.shards: dict[int, set[int]] = {m: set() for m in self.members}
-        self._factors = {m: _mixed(~m & _BITS_64) for m in self.members}
-        self._above: dict[int, frozenset[int]] = {}  # dead members that come before the owner, where there are any
-        self._parked: dict[int, set[int]] = {m: set() for m in self.members}  # the same, by dead member
+        self._factors = {m: _mix64(~m & _BITS_64) for m in self.members}
+        self._dead_above: dict[int, frozenset[int]] = {}  # by worker: dead members that outscore its owner
+        self._displaced: dict[int, set[int]] = {m: set() for m in self.members}  # the same, by dead member
 
     def score(self, worker: int, member: int) -> tuple[int, int]:
         """How much a worker is drawn to a member; the live one with the highest score owns it."""
-        return _mixed(worker) * self._factors[member] & _BITS_60, member
+        return _mix64(worker) * self._factors[member] & _BITS_60, member
 
-    def above(self, worker: int) -> frozenset[int]:
+    def dead_above(self, worker: int) -> frozenset[int]:
         """The dead members that would own a worker rather than its owner does, if they lived."""
-        return self._above.get(worker, _NONE)
+        return self._dead_above.get(worker, _EMPTY)
 
     def add(self, worker: int) -> int:
         """Follow a worker; its owner."""
         if worker not in self.owner:
-            self._place(worker)
+            self._assign(worker)
         return self.owner[worker]
 
     def remove(self, worker: int) -> None:
@@ -67,9 +67,9 @@
         owner = self.owner.pop(worker, None)
         if owner is not None:
             self.shards[owner].discard(worker)
-            self._park(worker, _NONE)
+            self._record_dead_above(worker, _EMPTY)
 
-    def down(self, member: int) -> list[Move]:
+    def mark_dead(self, member: int) -> list[Move]:
         """A member is dead: its workers go to those next in line."""
         if member in self.dead:
             return []
@@ -79,49 +79,49 @@
         moves = []
         for worker in sorted(self.shards[member]):
             self.shards[member].discard(worker)
-            self._place(worker)
+            self._assign(worker)
             moves.append(Move(worker, member, self.owner[worker]))
         return moves
 
-    def up(self, member: int) -> list[Move]:
+    def mark_alive(self, member: int) -> list[Move]:
         """A member lives again: what is its own returns to it."""
         if member not in self.dead:
             return []
         self.dead.discard(member)
         moves = []
-        for worker in sorted(self._parked[member]):
-            before = self.owner[worker]
-            self.shards[before].discard(worker)
-            own = self.score(worker, member)
-            self._own(worker, member, frozenset(d for d in self._above[worker]
-                                                if d != member and self.score(worker, d) > own))
-            moves.append(Move(worker, before, member))
+        for worker in sorted(self._displaced[member]):
+            old_owner = self.owner[worker]
+            self.shards[old_owner].discard(worker)
+            own_score = self.score(worker, member)
+            self._set_owner(worker, member, frozenset(d for d in self._dead_above[worker]
+                                                      if d != member and self.score(worker, d) > own_score))
+            moves.append(Move(worker, old_owner, member))
         return moves
 
-    def _place(self, worker: int) -> None:
+    def _assign(self, worker: int) -> None:
         """Find the owner of a worker among all members."""
-        mixed, dead = _mixed(worker), self.dead
+        mixed, dead = _mix64(worker), self.dead
         scores = [mixed * factor & _BITS_60 for factor in self._factors.values()]
         if not dead:
             # Of members with the same score the last one, as ``score`` has it.
-            place = len(scores) - 1 - scores[::-1].index(max(scores))
-            self._own(worker, self.members[place], _NONE)
+            index = len(scores) - 1 - scores[::-1].index(max(scores))
+            self._set_owner(worker, self.members[index], _EMPTY)
             return
-        best, owner = max((s, m) for s, m in zip(scores, self.members, strict=True) if m not in dead)
-        above = frozenset(m for s, m in zip(scores, self.members, strict=True)
-                          if m in dead and (s, m) > (best, owner))
-        self._own(worker, owner, above)
+        best_score, owner = max((s, m) for s, m in zip(scores, self.members, strict=True) if m not in dead)
+        dead_above = frozenset(m for s, m in zip(scores, self.members, strict=True)
+                               if m in dead and (s, m) > (best_score, owner))
+        self._set_owner(worker, owner, dead_above)
 
-    def _own(self, worker: int, owner: int, above: frozenset[int]) -> None:
+    def _set_owner(self, worker: int, owner: int, dead_above: frozenset[int]) -> None:
         self.owner[worker] = owner
         self.shards[owner].add(worker)
-        self._park(worker, above)
+        self._record_dead_above(worker, dead_above)
 
-    def _park(self, worker: int, above: frozenset[int]) -> None:
+    def _record_dead_above(self, worker: int, dead_above: frozenset[int]) -> None:
         """Note which dead members a worker returns to when they live."""
-        for member in self._above.pop(worker, _NONE):
-            self._parked[member].discard(worker)
-        for member in above:
-            self._parked[member].add(worker)
-        if above:
-            self._above[worker] = above
+        for member in self._dead_above.pop(worker, _EMPTY):
+            self._displaced[member].discard(worker)
+        for member in dead_above:
+            self._displaced[member].add(worker)
+        if dead_above:
+            self._dead_above[worker] = dead_above
--- a/gaphub/occupancy/choice.py
+++ b/gaphub/occupancy/choice.py
@@ -8,7 +8,7 @@
 from .sized import LARGE_FROM_PEERS, SizedExchange
 from .sums_messages import VERSION as SUMS_VERSION
 
-PRICE_MAX = 0.02  # points of the goal that telling may cost
+MAX_PRICE = 0.02  # points of the goal that telling may cost
 CHANGES_PER_JOB = 2  # its send and its end
 FIRST_BYTES = frozenset((SUMS_VERSION, *(FORMAT | kind for kind in Kind)))
 
@@ -25,6 +25,6 @@
     ``MESSAGE_BYTES_MAX`` to one peer for each request.  Each of a job's changes is told to every other scheduler.
     """
     cost = price * CHANGES_PER_JOB * DELTA_BYTES / MESSAGE_BYTES_MAX
-    if allowed and others > 0 and cost * others <= PRICE_MAX:
+    if allowed and others > 0 and cost * others <= MAX_PRICE:
         return SizedExchange(now, me, others) if others >= LARGE_FROM_PEERS else AllToAll(now, others)
     return NoExchange()
--- a/gaphub/occupancy/exchange.py
+++ b/gaphub/occupancy/exchange.py
@@ -50,7 +50,7 @@
                        gone: Iterable[int]) -> None:
         """Follow a list of changes: the workers that it names, and of those the ones that are gone."""
 
-    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
         """Note this scheduler's slots out at a worker, ``slots_out`` now; ``more``: they have grown."""
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
@@ -93,7 +93,7 @@
                        gone: Iterable[int]) -> None:
         """Ignored."""
 
-    def record_change(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
         """Tell nothing."""
         return NO_MESSAGES
 
--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -13,12 +13,12 @@
 from typing import NamedTuple
 
 
-class Renamed(NamedTuple):
+class IdChange(NamedTuple):
     """A worker whose id has changed, as a name that shares the first one came or went."""
 
     number: int
-    before: int
-    after: int
+    old_id: int
+    new_id: int
 
 
 def primary_id(name: str) -> int:
@@ -34,12 +34,12 @@
 class Identities:
     """Ids of the workers that are known, by their numbers in this process."""
 
-    __slots__ = ("_names", "_ids", "_sharing", "_numbers")
+    __slots__ = ("_names", "_ids", "_numbers_by_primary_id", "_numbers")
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}  # by number
         self._ids: dict[int, int] = {}  # by number
-        self._sharing: dict[int, set[int]] = {}  # numbers by first id
+        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers by first id
         self._numbers: dict[int, tuple[int, ...]] = {}  # by id
 
     def __contains__(self, number: int) -> bool:
@@ -60,49 +60,49 @@
         """The workers that an id names: none, one, or several that cannot be told apart."""
         return self._numbers.get(wire_id, ())
 
-    def add(self, number: int, name: str) -> list[Renamed]:
+    def add(self, number: int, name: str) -> list[IdChange]:
         """Know a worker; whose ids have changed by it."""
         if self._names.get(number) == name:
             return []
-        changed = self.remove(number) if number in self._names else []
+        changes = self.remove(number) if number in self._names else []
         self._names[number] = name
-        self._sharing.setdefault(primary_id(name), set()).add(number)
-        return changed + self._renamed(primary_id(name))
+        self._numbers_by_primary_id.setdefault(primary_id(name), set()).add(number)
+        return changes + self._reassign(primary_id(name))
 
-    def remove(self, number: int) -> list[Renamed]:
+    def remove(self, number: int) -> list[IdChange]:
         """Forget a worker; whose ids have changed by it."""
         name = self._names.pop(number, None)
         if name is None:
             return []
-        self._unset(number)
-        sharing = self._sharing[primary_id(name)]
+        self._release(number)
+        sharing = self._numbers_by_primary_id[primary_id(name)]
         sharing.discard(number)
         if not sharing:
-            del self._sharing[primary_id(name)]
-        return self._renamed(primary_id(name))
+            del self._numbers_by_primary_id[primary_id(name)]
+        return self._reassign(primary_id(name))
 
-    def _renamed(self, first: int) -> list[Renamed]:
+    def _reassign(self, primary: int) -> list[IdChange]:
         """Give those that share a first id the ids that are due."""
-        sharing = self._sharing.get(first, set())
-        alone = len({self._names[n] for n in sharing}) <= 1
-        changed = []
+        sharing = self._numbers_by_primary_id.get(primary, set())
+        unique = len({self._names[n] for n in sharing}) <= 1
+        changes = []
         for number in sorted(sharing):
-            due = first if alone else fallback_id(self._names[number])
-            before = self._ids.get(number)
-            if before == due:
+            new_id = primary if unique else fallback_id(self._names[number])
+            old_id = self._ids.get(number)
+            if old_id == new_id:
                 continue
-            if before is not None:
-                self._unset(number)
-                changed.append(Renamed(number, before, due))
-            self._ids[number] = due
-            self._numbers[due] = tuple(sorted((*self._numbers.get(due, ()), number)))
-        return changed
-
-    def _unset(self, number: int) -> None:
+            if old_id is not None:
+                self._release(number)
+                changes.append(IdChange(number, old_id, new_id))
+            self._ids[number] = new_id
+            self._numbers[new_id] = tuple(sorted((*self._numbers.get(new_id, ()), number)))
+        return changes
+
+    def _release(self, number: int) -> None:
         """Take an id from a worker."""
         wire_id = self._ids.pop(number)
-        left = tuple(n for n in self._numbers[wire_id] if n != number)
-        if left:
-            self._numbers[wire_id] = left
+        remaining = tuple(n for n in self._numbers[wire_id] if n != number)
+        if remaining:
+            self._numbers[wire_id] = remaining
         else:
             del self._numbers[wire_id]
--- a/gaphub/occupancy/ledger.py
+++ b/gaphub/occupancy/ledger.py
@@ -13,13 +13,13 @@
 REORDER_MS = 100.0  # ms; a lower sequence number that comes later than this is of a new life, or wrapped round
 SEQUENCE_NUMBERS = 256
 QUORUM_BASE = 3  # peers that must be heard for sums to be used, where there are so many, and
-QUORUM_PEERS = 8  # one more for each so many: in a large fleet some are always down
+PEERS_PER_QUORUM_MEMBER = 8  # one more for each so many: in a large fleet some are always down
 
 
 class PeerCounts:
     """What each peer has out at each worker, by wire id, as it last told; and the sums over the peers."""
 
-    __slots__ = ("counts", "total", "heard_at", "sequence", "_quorum", "_others", "_asked_at", "_complete")
+    __slots__ = ("counts", "total", "heard_at", "sequence", "_quorum", "_others", "_checked_at", "_complete")
 
     def __init__(self, others: int) -> None:
         """``others``: how many other schedulers there are."""
@@ -28,8 +28,8 @@
         self.heard_at: dict[int, float] = {}  # by peer: when it was last heard
         self.sequence: dict[int, int] = {}  # by peer: the sequence number of its last message
         self._others = others
-        self._quorum = min(others, QUORUM_BASE + others // QUORUM_PEERS)
-        self._asked_at = NEVER_MS  # when ``_complete`` was found: it is asked for each worker
+        self._quorum = min(others, QUORUM_BASE + others // PEERS_PER_QUORUM_MEMBER)
+        self._checked_at = NEVER_MS  # when ``_complete`` was found: it is asked for each worker
         self._complete = False
 
     def receive(self, now: float, sender: int, data: bytes) -> Message | None:
@@ -40,20 +40,20 @@
         message = decode(data)
         if message is None:
             return None
-        kind, sequence, told = message
+        kind, sequence, entries = message
         if kind is CAPACITY:
             return message
         behind = (self.sequence.get(sender, sequence) - sequence) % SEQUENCE_NUMBERS
         if 0 < behind < SEQUENCE_NUMBERS // 2 and kind is not SNAPSHOT_REQUEST:
             if now - self.heard_at.get(sender, NEVER_MS) < REORDER_MS:
                 return None  # a later message of the same life was heard first
-        self._asked_at = NEVER_MS
+        self._checked_at = NEVER_MS
         self.sequence[sender] = sequence
         self.heard_at[sender] = now
         counts = self.counts.setdefault(sender, {})
         if kind is not DELTA:
             self._clear(counts)
-        for key, n in told.items():
+        for key, n in entries.items():
             before = counts.get(key, 0)
             if n != before:
                 self._add(key, n - before)
@@ -77,7 +77,7 @@
 
     def remove_peer(self, sender: int) -> None:
         """Drop what a peer has told."""
-        self._asked_at = NEVER_MS
+        self._checked_at = NEVER_MS
         self.heard_at.pop(sender, None)
         self._clear(self.counts.pop(sender, {}))
 
@@ -86,8 +86,8 @@
 
         A peer that is silent for ``HEARTBEAT_TTL_MS`` has nothing out, or is cut off.
         """
-        if now != self._asked_at:
-            self._asked_at = now
+        if now != self._checked_at:
+            self._checked_at = now
             self._complete = self._has_quorum(now)
         return self._complete
 
--- a/gaphub/occupancy/messages.py
+++ b/gaphub/occupancy/messages.py
@@ -15,11 +15,11 @@
 from typing import NamedTuple
 
 FORMAT = 0xD0  # the upper half of the first byte; the lower half is the kind
-HEAD_BYTES = 2
+HEADER_BYTES = 2
 ENTRY_BYTES = 3
 MESSAGE_BYTES_MAX = 256
-ENTRIES_MAX = (MESSAGE_BYTES_MAX - HEAD_BYTES) // ENTRY_BYTES
-DELTA_BYTES = HEAD_BYTES + ENTRY_BYTES  # of a DELTA that tells of one worker
+ENTRIES_MAX = (MESSAGE_BYTES_MAX - HEADER_BYTES) // ENTRY_BYTES
+DELTA_BYTES = HEADER_BYTES + ENTRY_BYTES  # of a DELTA that tells of one worker
 COUNT_MAX = 255  # a larger count is told as this
 
 
@@ -60,13 +60,13 @@
 def decode(data: bytes) -> Message | None:
     """The message that a datagram holds; None if it holds none.  Counts of a wire id named twice are added."""
     size = len(data)
-    if not HEAD_BYTES <= size <= MESSAGE_BYTES_MAX or (size - HEAD_BYTES) % ENTRY_BYTES:
+    if not HEADER_BYTES <= size <= MESSAGE_BYTES_MAX or (size - HEADER_BYTES) % ENTRY_BYTES:
         return None
     number = data[0] ^ FORMAT
     if number >= len(KINDS):
         return None
     entries: dict[int, int] = {}
-    for i in range(HEAD_BYTES, size, ENTRY_BYTES):
+    for i in range(HEADER_BYTES, size, ENTRY_BYTES):
         key = data[i] << 8 | data[i + 1]
         count = data[i + 2]
         entries[key] = min(COUNT_MAX, entries[key] + count) if key in entries else count
--- a/gaphub/occupancy/pacing.py
+++ b/gaphub/occupancy/pacing.py
@@ -35,10 +35,10 @@
         self.flush_at = 0.0  # when what is pending is to be told; 0: nothing is held back
         self.sent_at = NEVER_MS
 
-    def record_change(self, now: float, worker: int, more: bool) -> bool:
+    def record_change(self, now: float, worker: int, increased: bool) -> bool:
         """Note a change, ``more`` slots or fewer; whether to tell what is pending now."""
         self.pending.add(worker)
-        if more or not self.flush_delay_ms:
+        if increased or not self.flush_delay_ms:
             return True
         if not self.flush_at:
             self.flush_at = now + self.flush_delay_ms
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -20,9 +20,9 @@
 
 from .aggregator import NEVER, Aggregator
 from .assignment import Assignment
-from .budget import Limits, Plan, SumOrder, TokenBucket, plan
+from .budget import Limits, Plan, SumOrder, TokenBucket, make_plan
 from .exchange import NOTHING_RECEIVED, Outgoing, Received
-from .identity import Identities, Renamed
+from .identity import IdChange, Identities
 from .reports import PeerReports
 from .sums import Sum, Sums
 from .sums_messages import (
@@ -33,15 +33,15 @@
     MessageError,
     decode,
     encode,
-    is_wide,
-    room,
+    entry_capacity,
+    needs_wide_entries,
 )
 
-WAKE_MS = 100.0  # at the shortest between two wake-ups
-REVIEWS = 4  # in a round: who is silent, how old the sums are
-ENOUGH = 3  # members that must be heard for sums to be used, where there are so many, and
-ENOUGH_PART = 8  # one more for each so many: in a large fleet some are always down
-FRESH_PART = 0.9  # of the listed workers must have a sum within the age bound
+MIN_WAKEUP_INTERVAL_MS = 100.0  # at the shortest between two wake-ups
+REVIEWS_PER_ROUND = 4  # in a round: who is silent, how old the sums are
+QUORUM_BASE = 3  # members that must be heard for sums to be used, where there are so many, and
+PEERS_PER_QUORUM_MEMBER = 8  # one more for each so many: in a large fleet some are always down
+FRESH_FRACTION_MIN = 0.9  # of the listed workers must have a sum within the age bound
 
 
 class DropReason(Enum):
@@ -80,37 +80,37 @@
         self._assignment = Assignment({me, *members})
         others = [m for m in self._assignment.members if m != me]
         self._peers = {m: _Peer(now) for m in others}
-        self._order = [*others[me % max(1, len(others)):], *others[:me % max(1, len(others))]]
+        self._peer_order = [*others[me % max(1, len(others)):], *others[:me % max(1, len(others))]]
         self._identities = Identities()
         self._aggregator = Aggregator(me, others)
         self._sums = Sums()
         self._sum_order = SumOrder()
         self._slots: dict[int, float] = {}  # own slots out, by the worker's number
         self._counts: dict[int, int] = {}  # the same, rounded up, by id
-        self._leaving: set[int] = set()  # numbers that are not listed, with slots out
-        self._dead = DeadSet.of(frozenset())
+        self._delisted: set[int] = set()  # numbers that are not listed, with slots out
+        self._dead_set = DeadSet.of(frozenset())
         self._bucket = TokenBucket(now, self.limits.bytes_per_s)
-        self._body: list[tuple[int, float]] = []  # the workers whose sums are told in this round, and of when
-        self._next = 0  # place in the order of peers
+        self._round_sums: list[tuple[int, float]] = []  # ids whose sums this round sends, and their as-of times
+        self._next_peer = 0  # place in the order of peers
         self._round_at = self._reviewed_at = now
         self._entries_reported = 0  # counts told in reports in this round
-        self._fresh_at = NEVER
-        self._fresh = False
+        self._complete_checked_at = NEVER
+        self._complete = False
         self.plan = self._plan(0.0, 0.0)
-        self._wakeup: float | None = now + WAKE_MS  # wanted, and not yet handed out
+        self._wakeup: float | None = now + MIN_WAKEUP_INTERVAL_MS  # wanted, and not yet handed out
 
     # Workers
 
     def add_worker(self, now: float, worker_id: int, name: str) -> None:
         """A list names a worker; ``name`` tells it apart in all processes, its number only in this one."""
-        self._leaving.discard(worker_id)
-        before = self._identities.id_of(worker_id) if worker_id in self._identities else None
-        renamed = self._identities.add(worker_id, name)
+        self._delisted.discard(worker_id)
+        old_id = self._identities.id_of(worker_id) if worker_id in self._identities else None
+        id_changes = self._identities.add(worker_id, name)
         wire_id = self._identities.id_of(worker_id)
-        if before not in (None, wire_id):
-            renamed = [Renamed(worker_id, before, wire_id), *renamed]
-        self._rename(renamed)
-        self._follow(wire_id)
+        if old_id not in (None, wire_id):
+            id_changes = [IdChange(worker_id, old_id, wire_id), *id_changes]
+        self._apply_id_changes(id_changes)
+        self._track_id(wire_id)
         self._recount(wire_id)
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
@@ -118,7 +118,7 @@
         known = self._identities.numbers()
         for worker_id in known - slots_out.keys():
             self.remove_worker(now, worker_id)
-        for worker_id in slots_out.keys() - (known - self._leaving):
+        for worker_id in slots_out.keys() - (known - self._delisted):
             self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
         for worker_id, slots in slots_out.items():
             if slots != self._slots.get(worker_id, 0.0):
@@ -130,7 +130,7 @@
         for worker_id in gone:
             self.remove_worker(now, worker_id)
         for worker_id, slots in slots_out.items():
-            if worker_id not in self._identities or worker_id in self._leaving:
+            if worker_id not in self._identities or worker_id in self._delisted:
                 self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
             if slots != self._slots.get(worker_id, 0.0):
                 self.record_change(now, worker_id, slots, False)
@@ -144,9 +144,9 @@
         if worker_id not in self._identities:
             return
         if self._slots.get(worker_id):
-            self._leaving.add(worker_id)
+            self._delisted.add(worker_id)
         else:
-            self._forget(worker_id)
+            self._forget_worker(worker_id)
 
     def record_change(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
         """The own slots out at a worker have changed; nothing is told before the next round."""
@@ -157,35 +157,35 @@
         else:
             self._slots.pop(worker_id, None)
         self._recount(self._identities.id_of(worker_id))
-        if slots_out <= 0.0 and worker_id in self._leaving:
-            self._leaving.discard(worker_id)
-            self._forget(worker_id)
+        if slots_out <= 0.0 and worker_id in self._delisted:
+            self._delisted.discard(worker_id)
+            self._forget_worker(worker_id)
         return ()
 
-    def _forget(self, worker_id: int) -> None:
+    def _forget_worker(self, worker_id: int) -> None:
         wire_id = self._identities.id_of(worker_id)
-        renamed = self._identities.remove(worker_id)
+        id_changes = self._identities.remove(worker_id)
         self._recount(wire_id)
         if not self._identities.numbers_of(wire_id):
-            self._drop(wire_id)
-        self._rename(renamed)
-
-    def _rename(self, renamed: list[Renamed]) -> None:
-        for _, before, after in renamed:
-            self._recount(before)
-            if not self._identities.numbers_of(before):
-                self._drop(before)
-            self._follow(after)
-            self._recount(after)
-
-    def _follow(self, wire_id: int) -> None:
+            self._untrack_id(wire_id)
+        self._apply_id_changes(id_changes)
+
+    def _apply_id_changes(self, id_changes: list[IdChange]) -> None:
+        for _, old_id, new_id in id_changes:
+            self._recount(old_id)
+            if not self._identities.numbers_of(old_id):
+                self._untrack_id(old_id)
+            self._track_id(new_id)
+            self._recount(new_id)
+
+    def _track_id(self, wire_id: int) -> None:
         self._assignment.add(wire_id)
         self._aggregator.add_worker(wire_id)
 
-    def _drop(self, wire_id: int) -> None:
+    def _untrack_id(self, wire_id: int) -> None:
         self._assignment.remove(wire_id)
         self._aggregator.remove_worker(wire_id)
-        self._sums.forget(wire_id)
+        self._sums.remove(wire_id)
 
     def _recount(self, wire_id: int) -> None:
         """Find the own count of an id anew, and note whom it must be told."""
@@ -208,7 +208,7 @@
         owner = self._assignment.owner.get(wire_id)
         if owner is None:
             return []
-        return [m for m in (owner, *self._assignment.above(wire_id)) if m != self.me]
+        return [m for m in (owner, *self._assignment.dead_above(wire_id)) if m != self.me]
 
     # What is known
 
@@ -216,7 +216,7 @@
         """The slots that the others have out at a worker; 0 where nothing is known."""
         if worker_id not in self._identities:
             return 0
-        return self._best(self._identities.id_of(worker_id)).others
+        return self._newest_sum(self._identities.id_of(worker_id)).peer_slots
 
     @property
     def heard_share(self) -> float:
@@ -227,7 +227,7 @@
         """How old ``out`` is, in ms: it holds all that was out then and still is; inf: nothing is known."""
         if worker_id not in self._identities:
             return inf
-        as_of = self._best(self._identities.id_of(worker_id), now).as_of
+        as_of = self._newest_sum(self._identities.id_of(worker_id), now).as_of
         return now - as_of if as_of > NEVER else inf
 
     def fresh(self, now: float, worker_id: int) -> bool:
@@ -244,14 +244,14 @@
         peer = self._peers.get(member)
         return NEVER if peer is None or peer.epoch is None else peer.heard_at
 
-    def complete(self, now: float, others_heard: int = 0) -> bool:
+    def complete(self, now: float, heard_otherwise: int = 0) -> bool:
         """Whether enough members are heard and most sums are within the age bound; found once a round.
 
         ``others_heard``: members that are heard in another way alone.
         """
-        if now - self._fresh_at >= self.plan.round_ms:
-            self._fresh_at, self._fresh = now, self._enough(now, others_heard)
-        return self._fresh
+        if now - self._complete_checked_at >= self.plan.round_ms:
+            self._complete_checked_at, self._complete = now, self._check_complete(now, heard_otherwise)
+        return self._complete
 
     def heard_members(self) -> frozenset[int]:
         """The other members that are heard in this format."""
@@ -264,31 +264,32 @@
 
     def counters(self) -> Counter[str]:
         """What was sent and dropped so far."""
-        figures = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in DropReason})
-        figures["dropped.refused"] = self.refused_entries()
-        figures["sent"] = self.sent_datagrams
-        figures["sent_bytes"] = self.sent_bytes
-        return figures
+        counters = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in DropReason})
+        counters["dropped.refused"] = self.refused_entries()
+        counters["sent"] = self.sent_datagrams
+        counters["sent_bytes"] = self.sent_bytes
+        return counters
 
-    def _enough(self, now: float, others_heard: int) -> bool:
+    def _check_complete(self, now: float, heard_otherwise: int) -> bool:
         others = len(self._peers)
-        if len(self.heard_members()) + others_heard < min(others, ENOUGH + others // ENOUGH_PART):
+        if len(self.heard_members()) + heard_otherwise < min(
+                others, QUORUM_BASE + others // PEERS_PER_QUORUM_MEMBER):
             return False
         since = now - self.plan.age_bound_ms
-        told, shard = self._sums, self._assignment.shards[self.me]
-        aggregated = sum(told.get(w).as_of < since <= self._as_of(now, w) for w in shard)
-        return told.count_since(since) + aggregated >= FRESH_PART * len(self._assignment.owner)
+        sums, shard = self._sums, self._assignment.shards[self.me]
+        aggregated = sum(sums.get(w).as_of < since <= self._own_sum_as_of(now, w) for w in shard)
+        return sums.count_since(since) + aggregated >= FRESH_FRACTION_MIN * len(self._assignment.owner)
 
-    def _best(self, wire_id: int, now: float = inf) -> Sum:
+    def _newest_sum(self, wire_id: int, now: float = inf) -> Sum:
         """The newest sum: what was told, or what is aggregated here."""
-        told = self._sums.get(wire_id)
+        received = self._sums.get(wire_id)
         if self._assignment.owner.get(wire_id) != self.me:
-            return told
-        as_of = self._as_of(now if now < inf else self._reviewed_at, wire_id)
-        return told if told.as_of > as_of else Sum(self._aggregator.others(wire_id, self.me), as_of)
+            return received
+        as_of = self._own_sum_as_of(now if now < inf else self._reviewed_at, wire_id)
+        return received if received.as_of > as_of else Sum(self._aggregator.others(wire_id, self.me), as_of)
 
-    def _as_of(self, now: float, wire_id: int) -> float:
-        return self._aggregator.as_of(now, wire_id, self._assignment.above(wire_id), self._dead)
+    def _own_sum_as_of(self, now: float, wire_id: int) -> float:
+        return self._aggregator.as_of(now, wire_id, self._assignment.dead_above(wire_id), self._dead_set)
 
     # Sending
 
@@ -301,81 +302,83 @@
         """Send what is due: the moment ``due``, of ``take_wakeup``, has come."""
         outgoing: list[Outgoing] = []
         self._review(now)
-        while self._next < self._due(now) and self._bucket.allows(now):
-            outgoing += self._send_round_to(now, self._order[self._next])
-            self._next += 1
-        if self._next >= len(self._order) and now - self._round_at >= self.plan.round_ms:
+        while self._next_peer < self._peers_due(now) and self._bucket.allows(now):
+            outgoing += self._send_round_to(now, self._peer_order[self._next_peer])
+            self._next_peer += 1
+        if self._next_peer >= len(self._peer_order) and now - self._round_at >= self.plan.round_ms:
             self._begin_round(now)
-        self._wakeup = now + max(WAKE_MS, self.plan.round_ms / max(1, len(self._order)))
+        self._wakeup = now + max(MIN_WAKEUP_INTERVAL_MS, self.plan.round_ms / max(1, len(self._peer_order)))
         return outgoing
 
-    def _due(self, now: float) -> int:
+    def _peers_due(self, now: float) -> int:
         """How many peers are to have been told by now in this round."""
-        part = (now - self._round_at) / self.plan.round_ms
-        return min(len(self._order), ceil(part * len(self._order)))
+        elapsed_fraction = (now - self._round_at) / self.plan.round_ms
+        return min(len(self._peer_order), ceil(elapsed_fraction * len(self._peer_order)))
 
     def _begin_round(self, now: float) -> None:
         took_ms = now - self._round_at
-        self.plan = self._plan(took_ms, self._entries_reported / max(1, len(self._order)))
+        self.plan = self._plan(took_ms, self._entries_reported / max(1, len(self._peer_order)))
         self._round_at = now
-        self._next = self._entries_reported = 0
-        self._aggregator.refresh()
+        self._next_peer = self._entries_reported = 0
+        self._aggregator.invalidate_ages()
         since = now - self.plan.age_bound_ms
-        shard = [w for w in self._assignment.shards[self.me] if self._as_of(now, w) >= since]
-        self._date(now, self._sum_order.choose(self.plan.sums, shard, self._aggregator.total))
+        shard = [w for w in self._assignment.shards[self.me] if self._own_sum_as_of(now, w) >= since]
+        self._set_round_sums(now, self._sum_order.choose(self.plan.sums, shard, self._aggregator.total))
 
-    def _date(self, now: float, wire_ids: Iterable[int]) -> None:
+    def _set_round_sums(self, now: float, wire_ids: Iterable[int]) -> None:
         """Note of when the sums of this round are; those of like age go together, as datagrams tell the oldest."""
-        dated = [(self._as_of(now, w), w) for w in wire_ids]
-        self._body = [(w, as_of) for as_of, w in sorted(dated) if as_of > NEVER]
+        dated = [(self._own_sum_as_of(now, w), w) for w in wire_ids]
+        self._round_sums = [(w, as_of) for as_of, w in sorted(dated) if as_of > NEVER]
 
     def _plan(self, last_round_ms: float, report_entries: float) -> Plan:
         shards = self._assignment.shards
         largest = max(len(shard) for shard in shards.values())
-        return plan(self.limits, len(self._order), len(shards[self.me]), largest, report_entries, last_round_ms)
+        return make_plan(self.limits, len(self._peer_order), len(shards[self.me]), largest, report_entries,
+                         last_round_ms)
 
     def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
         """The datagrams of a round to a peer."""
         self._peers[member].reports.begin_round()
-        sums = [] if member in self._assignment.dead else list(self._body)
-        left = self.plan.reports
+        sums = [] if member in self._assignment.dead else list(self._round_sums)
+        remaining = self.plan.reports
         outgoing = []
         while True:
-            data, reported, more = self._datagram(now, member, left, sums)
+            data, reported, more = self._datagram(now, member, remaining, sums)
             outgoing.append(Outgoing(member, data))
-            left -= reported
+            remaining -= reported
             self._entries_reported += reported
             self._bucket.spend(len(data))
             self.sent_bytes += len(data)
             self.sent_datagrams += 1
-            if not sums and (left <= 0 or not more):
+            if not sums and (remaining <= 0 or not more):
                 return outgoing
 
-    def _datagram(self, now: float, member: int, most: int,
+    def _datagram(self, now: float, member: int, limit: int,
                   sums: list[tuple[int, float]]) -> tuple[bytes, int, bool]:
         """The next datagram to a peer, how many counts it reports, and whether there are more; takes its sums."""
         peer = self._peers[member]
-        wide = room(self._dead, True)
-        fit = max(0, min(most, REPORT_ENTRIES_MAX, wide))
-        unsent = peer.reports.unsent(fit + 1)
-        more = len(unsent) > fit
-        report = {w: self._counts.get(w, 0) for w in unsent[:fit]}
-        entries = room(self._dead, False) - len(report)
-        taken, rest = sums[:entries], sums[entries:]
-        told = self._told(member, taken)
-        if len(report) + len(told) > wide and any(map(is_wide, chain(report.values(), told.values()))):
+        wide = entry_capacity(self._dead_set, True)
+        capacity = max(0, min(limit, REPORT_ENTRIES_MAX, wide))
+        unsent = peer.reports.unsent(capacity + 1)
+        more = len(unsent) > capacity
+        report = {w: self._counts.get(w, 0) for w in unsent[:capacity]}
+        entries = entry_capacity(self._dead_set, False) - len(report)
+        sendable, unsent_sums = sums[:entries], sums[entries:]
+        sums_entries = self._sums_for(member, sendable)
+        if len(report) + len(sums_entries) > wide and any(
+                map(needs_wide_entries, chain(report.values(), sums_entries.values()))):
             entries = wide - len(report)
-            taken, rest = sums[:entries], sums[entries:]
-            told = self._told(member, taken)
-        sums[:] = rest
-        oldest = taken[0][1] if taken else now
+            sendable, unsent_sums = sums[:entries], sums[entries:]
+            sums_entries = self._sums_for(member, sendable)
+        sums[:] = unsent_sums
+        oldest = sendable[0][1] if sendable else now
         base = peer.reports.base
-        peer.reports.sent(now, report)
+        peer.reports.record_sent(now, report)
         message = Message(self.epoch, peer.reports.number, base, more, peer.epoch or 0,
-                          self._aggregator.applied(member), now - oldest, self._dead, report, told)
+                          self._aggregator.applied(member), now - oldest, self._dead_set, report, sums_entries)
         return encode(message), len(report), more
 
-    def _told(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
+    def _sums_for(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
         """What a peer is told of some workers, if they still are this member's to aggregate."""
         owner, others = self._assignment.owner, self._aggregator.others
         return {w: min(COUNT_MAX, others(w, member)) for w, _ in sums if owner.get(w) == self.me}
@@ -394,13 +397,13 @@
         except MessageError:
             self.dropped[DropReason.UNREADABLE] += 1
             return NOTHING_RECEIVED
-        if self._of_this_life(now, sender, peer, message):
-            self._take(now, sender, peer, message)
+        if self._is_current_epoch(now, sender, peer, message):
+            self._apply_message(now, sender, peer, message)
         else:
             self.dropped[DropReason.LATE] += 1
         return NOTHING_RECEIVED
 
-    def _take(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
+    def _apply_message(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
         """Take a message of the sender's present life."""
         late = message.number <= peer.number
         if late:  # no sign of life, but each sum says of when it is, and a report on what it builds
@@ -409,13 +412,13 @@
             peer.number = message.number
             peer.heard_at = now
             if sender in self._assignment.dead:
-                self._returned(now, sender)
-        built_after = self._echoed(sender, peer, message, late)
+                self._on_member_alive(now, sender)
+        built_after = self._process_echo(sender, peer, message, late)
         if not late or message.base:
-            self._take_report(sender, message, built_after)
-        self._take_sums(message, built_after)
+            self._apply_report(sender, message, built_after)
+        self._apply_sums(message, built_after)
 
-    def _of_this_life(self, now: float, sender: int, peer: _Peer, message: Message) -> bool:
+    def _is_current_epoch(self, now: float, sender: int, peer: _Peer, message: Message) -> bool:
         """Whether a datagram is of its sender's present life; notes a new one."""
         if message.epoch != peer.epoch:
             silent = now - peer.heard_at > self.plan.silent_ms
@@ -423,33 +426,33 @@
                 return False
             peer.epoch = message.epoch
             peer.number = 0
-            self._aggregator.reborn(sender)
+            self._aggregator.restart_member(sender)
         return True
 
-    def _echoed(self, sender: int, peer: _Peer, message: Message, late: bool) -> float | None:
+    def _process_echo(self, sender: int, peer: _Peer, message: Message, late: bool) -> float | None:
         """After when a datagram was built; None if it does not prove that."""
         known = message.echo if message.echo_epoch == self.epoch else 0
         if not late and not peer.reports.acknowledge(known):
-            peer.reports.restart([w for w in self._counts if sender in self._targets(w)])
-        return peer.reports.echoed(known) if known else None
+            peer.reports.reset([w for w in self._counts if sender in self._targets(w)])
+        return peer.reports.sent_time(known) if known else None
 
-    def _take_report(self, sender: int, message: Message, built_after: float | None) -> None:
+    def _apply_report(self, sender: int, message: Message, built_after: float | None) -> None:
         if not self._aggregator.apply(sender, message):
             self.dropped[DropReason.GAP] += 1
         elif not message.more and built_after is not None:
-            self._aggregator.cover(sender, built_after, message.dead, self._dead)
+            self._aggregator.record_as_of(sender, built_after, message.dead, self._dead_set)
 
-    def _take_sums(self, message: Message, built_after: float | None) -> None:
+    def _apply_sums(self, message: Message, built_after: float | None) -> None:
         if not message.sums:
             return
         if built_after is None:
             self.dropped[DropReason.UNPROVEN] += 1
             return
-        if not message.dead.within(self._assignment.dead, self._dead):
+        if not message.dead.is_covered_by(self._assignment.dead, self._dead_set):
             self.dropped[DropReason.DISAGREES] += 1
             return
         as_of = built_after - message.age_ms
-        unlisted = self._sums.take(message.sums, as_of, self._assignment.owner)
+        unlisted = self._sums.update(message.sums, as_of, self._assignment.owner)
         if unlisted:
             self.dropped[DropReason.UNLISTED] += unlisted
 
@@ -457,12 +460,12 @@
 
     def _review(self, now: float) -> None:
         """Find who is silent, and the sums' age anew, a few times a round."""
-        if now - self._reviewed_at < self.plan.round_ms / REVIEWS:
+        if now - self._reviewed_at < self.plan.round_ms / REVIEWS_PER_ROUND:
             return
         stopped = now - self._reviewed_at > self.plan.silent_ms / 2
         self._reviewed_at = now
-        self._aggregator.refresh()
-        self._date(now, [w for w, _ in self._body])
+        self._aggregator.invalidate_ages()
+        self._set_round_sums(now, [w for w, _ in self._round_sums])
         if stopped:  # whoever did not listen cannot say who was silent
             for peer in self._peers.values():
                 peer.heard_at = max(peer.heard_at, now - self.plan.silent_ms / 2)
@@ -472,33 +475,34 @@
                 continue
             if member not in self._assignment.dead:
                 self._on_member_dead(member)
-            if now - peer.heard_at > max(self.limits.hold_ms, self.plan.silent_ms):
-                self._aggregator.void(member)
+            if now - peer.heard_at > max(self.limits.silent_counts_ttl_ms, self.plan.silent_ms):
+                self._aggregator.clear_member(member)
 
     def _on_member_dead(self, member: int) -> None:
         """A member is dead: tell those who take its workers over, or would if they lived, what is out there."""
-        told_before = {worker: self._assignment.above(worker) for worker in self._assignment.shards[member]}
-        for worker, _, _ in self._assignment.down(member):
+        previous_dead_above = {worker: self._assignment.dead_above(worker)
+                               for worker in self._assignment.shards[member]}
+        for worker, _, _ in self._assignment.mark_dead(member):
             for target in self._targets(worker):
                 reports = self._peers[target].reports
-                if target != member and target not in told_before[worker] and (
-                        worker in self._counts or worker in reports.told):
+                if target != member and target not in previous_dead_above[worker] and (
+                        worker in self._counts or worker in reports.sent_ids):
                     reports.mark(worker)
-        self._views()
+        self._update_dead_set()
 
-    def _returned(self, now: float, member: int) -> None:
+    def _on_member_alive(self, now: float, member: int) -> None:
         """A member lives again: what is its own returns to it, and what is known of that is kept."""
         for worker in list(self._assignment.shards[self.me]):
-            if member in self._assignment.above(worker):
-                held = self._best(worker, now)
-                self._sums.take({worker: held.others}, held.as_of, self._assignment.owner)
-        self._assignment.up(member)
-        self._views()
+            if member in self._assignment.dead_above(worker):
+                newest = self._newest_sum(worker, now)
+                self._sums.update({worker: newest.peer_slots}, newest.as_of, self._assignment.owner)
+        self._assignment.mark_alive(member)
+        self._update_dead_set()
 
-    def _views(self) -> None:
+    def _update_dead_set(self) -> None:
         dead = self._assignment.dead
-        self._dead = DeadSet.of(dead)
-        self._aggregator.live(self._peers.keys() - dead)
+        self._dead_set = DeadSet.of(dead)
+        self._aggregator.set_live(self._peers.keys() - dead)
 
 
 __all__ = ["DropReason", "Limits", "Outgoing", "Received", "ShardedExchange"]
--- a/gaphub/occupancy/status.py
+++ b/gaphub/occupancy/status.py
@@ -40,12 +40,13 @@
     if sharded is None:
         return OccupancyStatus(ExchangeMethod.ALL_TO_ALL, exchange.complete(now))
     ages = sorted(sharded.age(now, worker) for worker in workers)
-    return OccupancyStatus(ExchangeMethod.SHARDED, exchange.complete(now), _part(ages, 0.5), _part(ages, 0.99))
+    return OccupancyStatus(ExchangeMethod.SHARDED, exchange.complete(now),
+                           _percentile(ages, 0.5), _percentile(ages, 0.99))
 
 
-def _part(ages: list[float], part: float) -> float | None:
+def _percentile(ages: list[float], fraction: float) -> float | None:
     """The age that so many are not above."""
     if not ages:
         return None
-    age = ages[min(len(ages) - 1, int(part * len(ages)))]
+    age = ages[min(len(ages) - 1, int(fraction * len(ages)))]
     return age if age < inf else None
--- a/gaphub/occupancy/sums.py
+++ b/gaphub/occupancy/sums.py
@@ -15,7 +15,7 @@
 class Sum(NamedTuple):
     """The others' slots at a worker, with all that they had out at ``as_of``."""
 
-    others: int
+    peer_slots: int
     as_of: float  # ms
 
 
@@ -33,29 +33,29 @@
     def __len__(self) -> int:
         return len(self._sums)
 
-    def take(self, told: Mapping[int, int], as_of: float, listed: Container[int]) -> int:
+    def update(self, received: Mapping[int, int], as_of: float, listed: Container[int]) -> int:
         """Believe the sums that are newer than what is held, of listed workers; how many are of others."""
         sums, unlisted = self._sums, 0
-        for wire_id, others in told.items():
-            held = sums.get(wire_id)
-            if held is not None:
-                if as_of > held[1]:
-                    sums[wire_id] = (others, as_of)
+        for wire_id, peer_slots in received.items():
+            stored = sums.get(wire_id)
+            if stored is not None:
+                if as_of > stored[1]:
+                    sums[wire_id] = (peer_slots, as_of)
             elif wire_id in listed:
-                sums[wire_id] = (others, as_of)
+                sums[wire_id] = (peer_slots, as_of)
             else:
                 unlisted += 1
         return unlisted
 
     def get(self, wire_id: int) -> Sum:
         """What is believed of a worker."""
-        held = self._sums.get(wire_id)
-        return UNKNOWN_SUM if held is None else Sum(*held)
+        stored = self._sums.get(wire_id)
+        return UNKNOWN_SUM if stored is None else Sum(*stored)
 
     def count_since(self, since: float) -> int:
         """How many sums are not older."""
         return sum(as_of >= since for _, as_of in self._sums.values())
 
-    def forget(self, wire_id: int) -> None:
+    def remove(self, wire_id: int) -> None:
         """A worker is not listed any more."""
         self._sums.pop(wire_id, None)
--- a/gaphub/occupancy/sums_messages.py
+++ b/gaphub/occupancy/sums_messages.py
@@ -28,12 +28,12 @@
 DEAD_NAMED_MAX = 8  # more are told as a digest
 REPORT_ENTRIES_MAX = 255
 
-_HEAD = struct.Struct(">BBIIIIIHBB")
-HEAD_BYTES = _HEAD.size
-_MORE = 1
-_DIGEST = 2
-_WIDE = 4
-_FLAGS = _MORE | _DIGEST | _WIDE
+_HEADER = struct.Struct(">BBIIIIIHBB")
+HEADER_BYTES = _HEADER.size
+_FLAG_MORE = 1
+_FLAG_DIGEST = 2
+_FLAG_WIDE = 4
+_KNOWN_FLAGS = _FLAG_MORE | _FLAG_DIGEST | _FLAG_WIDE
 _NARROW_ENTRY = struct.Struct(">IB")
 _WIDE_ENTRY = struct.Struct(">IH")
 _NARROW_MAX = 0xFF
@@ -44,7 +44,7 @@
 class Fault(Enum):
     """Why a datagram is dropped."""
 
-    FOREIGN = "of another format or version"
+    UNKNOWN_FORMAT = "of another format or version"
     SIZE = "too short or too long"
     MALFORMED = "does not hold what its head says"
 
@@ -72,13 +72,13 @@
         digest = zlib.crc32(b"".join(m.to_bytes(2, "big") for m in sorted(dead)))
         return DeadSet(frozenset(dead) if len(dead) <= DEAD_NAMED_MAX else None, digest)
 
-    def includes(self, some: frozenset[int], all_dead: DeadSet) -> bool:
+    def includes(self, members: frozenset[int], all_dead: DeadSet) -> bool:
         """Whether some of another's dead are dead here too; ``all_dead`` is all of the other's."""
-        if not some or self.digest == all_dead.digest:
+        if not members or self.digest == all_dead.digest:
             return True
-        return self.named is not None and some <= self.named
+        return self.named is not None and members <= self.named
 
-    def within(self, dead: Set[int], all_dead: DeadSet) -> bool:
+    def is_covered_by(self, dead: Set[int], all_dead: DeadSet) -> bool:
         """Whether nobody is dead here who is not in ``dead``, which ``all_dead`` tells too."""
         if self.digest == all_dead.digest:
             return True
@@ -104,12 +104,12 @@
     sums: dict[int, int]  # all others' counts, without the receiver's
 
 
-def room(dead: DeadSet, wide: bool) -> int:
+def entry_capacity(dead: DeadSet, wide: bool) -> int:
     """How many entries a message has room for."""
-    return (MESSAGE_BYTES_MAX - HEAD_BYTES - dead_bytes(dead)) // (ENTRY_BYTES_MAX if wide else ENTRY_BYTES)
+    return (MESSAGE_BYTES_MAX - HEADER_BYTES - dead_bytes(dead)) // (ENTRY_BYTES_MAX if wide else ENTRY_BYTES)
 
 
-def is_wide(count: int) -> bool:
+def needs_wide_entries(count: int) -> bool:
     """Whether a count needs a datagram of wide entries."""
     return count > _NARROW_MAX
 
@@ -127,41 +127,42 @@
     """The bytes of a message; the caller sees to it that they are at most ``MESSAGE_BYTES_MAX``."""
     dead = message.dead
     if dead.named is None:
-        told, names = 0, dead.digest.to_bytes(4, "big")
+        dead_count, dead_data = 0, dead.digest.to_bytes(4, "big")
     else:
-        told, names = len(dead.named), b"".join(m.to_bytes(2, "big") for m in sorted(dead.named))
-    wide = is_wide(max(chain(message.report.values(), message.sums.values()), default=0))
-    flags = (_MORE if message.more else 0) | (_DIGEST if dead.named is None else 0) | (_WIDE if wide else 0)
+        dead_count, dead_data = len(dead.named), b"".join(m.to_bytes(2, "big") for m in sorted(dead.named))
+    wide = needs_wide_entries(max(chain(message.report.values(), message.sums.values()), default=0))
+    flags = ((_FLAG_MORE if message.more else 0) | (_FLAG_DIGEST if dead.named is None else 0)
+             | (_FLAG_WIDE if wide else 0))
     age = ceil(min(message.age_ms, AGE_MAX_MS) / AGE_UNIT_MS)
-    head = _HEAD.pack(VERSION, flags, message.epoch, message.number, message.base, message.echo_epoch,
-                      message.echo, age, told, len(message.report))
-    return head + names + _entries(message.report, wide) + _entries(message.sums, wide)
+    header = _HEADER.pack(VERSION, flags, message.epoch, message.number, message.base, message.echo_epoch,
+                          message.echo, age, dead_count, len(message.report))
+    return header + dead_data + _entries(message.report, wide) + _entries(message.sums, wide)
 
 
 def decode(data: bytes) -> Message:
     """The message that a datagram holds."""
     if not data or data[0] != VERSION:
-        raise MessageError(Fault.FOREIGN)
-    if not HEAD_BYTES <= len(data) <= MESSAGE_BYTES_MAX:
+        raise MessageError(Fault.UNKNOWN_FORMAT)
+    if not HEADER_BYTES <= len(data) <= MESSAGE_BYTES_MAX:
         raise MessageError(Fault.SIZE)
-    _, flags, epoch, number, base, echo_epoch, echo, age, told, reported = _HEAD.unpack_from(data)
-    if flags & ~_FLAGS or number == 0 or base >= number or (flags & _DIGEST and told):
+    _, flags, epoch, number, base, echo_epoch, echo, age, dead_count, report_count = _HEADER.unpack_from(data)
+    if flags & ~_KNOWN_FLAGS or number == 0 or base >= number or (flags & _FLAG_DIGEST and dead_count):
         raise MessageError(Fault.MALFORMED)
-    at = HEAD_BYTES + (4 if flags & _DIGEST else 2 * told)
-    if at > len(data):
+    offset = HEADER_BYTES + (4 if flags & _FLAG_DIGEST else 2 * dead_count)
+    if offset > len(data):
         raise MessageError(Fault.MALFORMED)
-    names = data[HEAD_BYTES:at]
-    if flags & _DIGEST:
-        dead = DeadSet(None, int.from_bytes(names, "big"))
+    dead_data = data[HEADER_BYTES:offset]
+    if flags & _FLAG_DIGEST:
+        dead = DeadSet(None, int.from_bytes(dead_data, "big"))
     else:
-        dead = DeadSet.of({int.from_bytes(names[i:i + 2], "big") for i in range(0, len(names), 2)})
-    entry = _WIDE_ENTRY if flags & _WIDE else _NARROW_ENTRY
-    end = at + reported * entry.size
+        dead = DeadSet.of({int.from_bytes(dead_data[i:i + 2], "big") for i in range(0, len(dead_data), 2)})
+    entry = _WIDE_ENTRY if flags & _FLAG_WIDE else _NARROW_ENTRY
+    end = offset + report_count * entry.size
     if end > len(data) or (len(data) - end) % entry.size:
         raise MessageError(Fault.MALFORMED)
-    report: dict[int, int] = dict(entry.iter_unpack(data[at:end]))
+    report: dict[int, int] = dict(entry.iter_unpack(data[offset:end]))
     sums: dict[int, int] = dict(entry.iter_unpack(data[end:]))
-    if len(report) != reported:
+    if len(report) != report_count:
         raise MessageError(Fault.MALFORMED)
-    return Message(epoch, number, base, bool(flags & _MORE), echo_epoch, echo, age * AGE_UNIT_MS, dead, report,
-                   sums)
+    return Message(epoch, number, base, bool(flags & _FLAG_MORE), echo_epoch, echo, age * AGE_UNIT_MS, dead,
+                   report, sums)
--- a/tests/test_occupancy.py
+++ b/tests/test_occupancy.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from gaphub.occupancy.all_to_all import AllToAll
-from gaphub.occupancy.choice import PRICE_MAX, exchange_for
+from gaphub.occupancy.choice import MAX_PRICE, exchange_for
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange, OccupancyExchange, Outgoing
 from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, REORDER_MS, PeerCounts
 from gaphub.occupancy.messages import DELTA_BYTES, ENTRIES_MAX, MESSAGE_BYTES_MAX, Kind, decode, encode
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("others", [1, 39])
 def test_the_way_follows_what_is_allowed_and_what_it_costs(others: int) -> None:
-    most = PRICE_MAX * MESSAGE_BYTES_MAX / (2 * DELTA_BYTES * others)
+    most = MAX_PRICE * MESSAGE_BYTES_MAX / (2 * DELTA_BYTES * others)
     ways = [exchange_for(0.0, 0, others, allowed, price)
             for allowed, price in ((True, 0.0), (True, 0.99 * most), (True, 1.01 * most), (False, 0.0))]
     telling = AllToAll if others < LARGE_FROM_PEERS else SizedExchange
--- a/tests/test_occupancy_at_size.py
+++ b/tests/test_occupancy_at_size.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from gaphub.occupancy.assignment import Assignment
-from gaphub.occupancy.budget import LARGE_PART, Limits, SumOrder, TokenBucket, plan
+from gaphub.occupancy.budget import LARGE_FRACTION, Limits, SumOrder, TokenBucket, make_plan
 from gaphub.occupancy.identity import Identities, fallback_id, primary_id
 from gaphub.occupancy.ledger import PeerCounts
 from gaphub.occupancy.messages import Kind
@@ -64,14 +64,14 @@
             known.discard(gone)
             assignment.remove(gone)
         elif what == "down" and len(assignment.dead) + 1 < len(members):
-            assignment.down(member)
+            assignment.mark_dead(member)
         elif what == "up":
-            assignment.up(member)
+            assignment.mark_alive(member)
         live = members - assignment.dead
         assert assignment.owner == {w: max(live, key=lambda m: assignment.score(w, m)) for w in known}
         for w in known:
             own = assignment.score(w, assignment.owner[w])
-            assert assignment.above(w) == {m for m in assignment.dead if assignment.score(w, m) > own}
+            assert assignment.dead_above(w) == {m for m in assignment.dead if assignment.score(w, m) > own}
         assert {m: s for m, s in assignment.shards.items() if s} == {
             m: {w for w in known if assignment.owner[w] == m} for m in set(assignment.owner.values())}
 
@@ -86,18 +86,18 @@
     before = dict(assignment.owner)
     for gone in range(0, members, max(1, members // 5)):
         own = {w for w, m in before.items() if m == gone}
-        moves = assignment.down(gone)
+        moves = assignment.mark_dead(gone)
         assert {m.worker for m in moves} == own
-        assert len({m.after for m in moves}) > min(members, len(own)) / 3  # spread over the rest
-        assert {m.worker for m in assignment.up(gone)} == own
+        assert len({m.new_owner for m in moves}) > min(members, len(own)) / 3  # spread over the rest
+        assert {m.worker for m in assignment.mark_alive(gone)} == own
         assert assignment.owner == before
 
 
 def test_the_last_live_member_cannot_go() -> None:
     assignment = Assignment([3, 4])
-    assignment.down(3)
+    assignment.mark_dead(3)
     with pytest.raises(ValueError, match="no member"):
-        assignment.down(4)
+        assignment.mark_dead(4)
 
 
 def test_owners_are_the_same_in_another_process() -> None:
@@ -196,7 +196,7 @@
     message = Message(1, 1, 0, False, 0, 0, 0.0, DeadSet.of(set()), {1: 1}, {})
     with pytest.raises(MessageError) as raised:
         decode(bytes([first]) + encode(message)[1:])
-    assert raised.value.fault is Fault.FOREIGN
+    assert raised.value.fault is Fault.UNKNOWN_FORMAT
 
 
 def test_an_age_past_all_bounds_is_told_as_the_largest() -> None:
@@ -208,7 +208,7 @@
 def test_views_are_compared_safely(ours: set[int], theirs: set[int]) -> None:
     told = decode(encode(Message(1, 1, 0, False, 0, 0, 0.0, DeadSet.of(theirs), {}, {}))).dead
     named = len(theirs) <= DEAD_NAMED_MAX
-    assert told.within(ours, DeadSet.of(ours)) == (theirs == ours or (named and theirs <= ours))
+    assert told.is_covered_by(ours, DeadSet.of(ours)) == (theirs == ours or (named and theirs <= ours))
     some = frozenset(sorted(ours)[:3])
     assert told.includes(some, DeadSet.of(ours)) == (not some or theirs == ours or (named and some <= theirs))
 
@@ -360,7 +360,7 @@
         for _ in range(1 + value % 3):
             entries = reports.unsent(1 + value % 4)
             base = reports.base
-            reports.sent(0.0, entries)
+            reports.record_sent(0.0, entries)
             if (what != "lose" or reports.number % 2) and base <= applied:
                 peer.update({w: truth[w] for w in entries})
                 applied = reports.number
@@ -371,7 +371,7 @@
         reports.begin_round()
         entries = reports.unsent(10)
         base = reports.base
-        reports.sent(0.0, entries)
+        reports.record_sent(0.0, entries)
         assert base <= applied
         peer.update({w: truth[w] for w in entries})
         applied = reports.number
@@ -385,9 +385,9 @@
     for worker in (1, 2, 3):
         reports.mark(worker)
     reports.begin_round()
-    reports.sent(0.0, reports.unsent(3))  # lost
+    reports.record_sent(0.0, reports.unsent(3))  # lost
     reports.begin_round()
-    reports.sent(0.0, reports.unsent(1))  # taken
+    reports.record_sent(0.0, reports.unsent(1))  # taken
     assert reports.acknowledge(2)
     reports.begin_round()
     assert reports.base == 2
@@ -425,14 +425,14 @@
 @given(st.integers(1, 400), st.integers(1, 1_100), st.integers(0, 300), st.floats(1_000.0, 40_000.0))
 def test_the_bound_grows_as_the_budget_binds(peers: int, shard: int, reports: int, rate: float) -> None:
     def bound(rate: float, shard: int, reports: float) -> float:
-        return plan(Limits(bytes_per_s=rate), peers, shard, shard, reports, 0.0).age_bound_ms
+        return make_plan(Limits(bytes_per_s=rate), peers, shard, shard, reports, 0.0).age_bound_ms
 
     usual = bound(rate, shard, reports)
     assert bound(rate / 2, shard, reports) >= usual
     assert bound(rate, shard * 2, reports) >= usual
     assert bound(rate, shard, reports + 50) >= usual
-    made = plan(Limits(bytes_per_s=rate), peers, shard, shard, reports, 0.0)
-    assert made.age_bound_ms >= made.silent_ms + made.round_ms + made.turn_ms
+    made = make_plan(Limits(bytes_per_s=rate), peers, shard, shard, reports, 0.0)
+    assert made.age_bound_ms >= made.silent_ms + made.round_ms + made.cycle_ms
 
 
 @given(st.integers(1, 60), st.integers(4, 40), st.randoms())
@@ -440,7 +440,7 @@
     order, totals = SumOrder(), dict.fromkeys(range(shard), 4)
     told_in = dict[int, int]()
     first = -(-shard // most)
-    turn = -(-shard // max(1, most - int(most * LARGE_PART)))
+    turn = -(-shard // max(1, most - int(most * LARGE_FRACTION)))
     for number in range(first + 3 * turn + 2):
         chosen = order.choose(most, totals, totals.__getitem__)
         assert len(chosen) == len(set(chosen)) == min(most, shard)
@@ -515,7 +515,7 @@
 @given(SEEDS, st.integers(2, 7), st.integers(1, 12), EVENTS)
 def test_no_sum_lacks_what_stood_for_longer_than_its_age(seed: int, members: int, workers: int,
                                                         events: list[tuple[str, int, int]]) -> None:
-    network = Network(seed, members, workers, Limits(hold_ms=10_000.0))
+    network = Network(seed, members, workers, Limits(silent_counts_ttl_ms=10_000.0))
     for what, member, steps in events:
         _happen(network, what, member)
         for _ in range(steps):
@@ -564,7 +564,7 @@
 @settings(SIMULATED, max_examples=4)
 @given(SEEDS)
 def test_two_halves_go_on_and_come_back_within_the_budget(seed: int) -> None:
-    network = Network(seed, 20, 24, Limits(hold_ms=15_000.0))
+    network = Network(seed, 20, 24, Limits(silent_counts_ttl_ms=15_000.0))
     network.run(12_000, 2)
     network.cut = lambda a, b: (a < 10) != (b < 10)
     for _ in range(20):
