--- a/gaphub/occupancy/aggregator.py
+++ b/gaphub/occupancy/aggregator.py
@@ -1,8 +1,8 @@
-"""Owns what the members have reported to this one, and how old it is: the role of aggregator.
+"""The counts that the members reported to this one as an aggregator, their sums, and the age of the sums.
 
-Pure.  It holds the last count of each member at each listed worker, and never lets go of a silent member's
-counts by itself: the caller says when these are void.  A sum is as old as the oldest report that covers its
-worker, over the members that live.
+No I/O, no clock, no randomness.  Holds the last count of each member at each listed worker.  It never drops the
+counts of a silent member by itself: the caller decides when to clear them.  A sum is as old as the oldest of the
+live members' reports that cover its worker.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 
 from .sums_messages import DeadSet, Message
 
-NEVER = -1e18
-MAX_REFUSED_IDS = 1_024  # ids of workers not listed that are remembered for one member; beyond, any may be one
+NEVER = -1e18  # before any time
+MAX_REFUSED_IDS = 1_024  # refused ids stored per member; beyond that, any id counts as possibly refused
 _NO_MEMBERS: frozenset[int] = frozenset()
 
 
 class MemberReport:
-    """What one member has reported."""
+    """The reported counts of one member."""
 
     __slots__ = ("counts", "applied", "as_of", "dead", "unconfirmed", "refused", "refused_overflow")
 
     def __init__(self) -> None:
-        self.counts: dict[int, int] = {}  # by id; none is 0
-        self.applied = 0  # the last datagram of the report's chain that was applied
-        self.as_of = NEVER  # the report holds all that the member had out then
-        self.dead = DeadSet.of(_NO_MEMBERS)  # as the member saw it
-        self.unconfirmed: set[int] | None = None  # counts that a whole report, now coming in, has not named yet
-        self.refused: set[int] = set()  # ids it named while they were not listed
+        self.counts: dict[int, int] = {}  # by id; no zeros
+        self.applied = 0  # number of the last datagram that was applied; 0: a full report must come
+        self.as_of = NEVER  # the counts include everything that the member had out then
+        self.dead = DeadSet.of(_NO_MEMBERS)  # the dead members as the sender of the report saw them
+        self.unconfirmed: set[int] | None = None  # ids that an incoming full report has yet to name
+        self.refused: set[int] = set()  # ids that it reported while they were not listed
         self.refused_overflow = False
 
 
 class Aggregator:
-    """Counts by member, and their sums."""
+    """The counts by member and id, and their sums."""
 
     __slots__ = ("me", "refused", "_reports", "_members_with_refused", "_totals", "_listed", "_live",
                  "_as_of_by_dead", "_oldest_as_of", "_awaiting", "_own")
 
     def __init__(self, me: int, members: Iterable[int]) -> None:
         self.me = me
-        self.refused = 0  # entries for workers that were not listed
+        self.refused = 0  # entries dropped because their workers were not listed
         self._reports = {m: MemberReport() for m in members if m != me}
-        self._members_with_refused: set[int] = set()  # members that named a worker that was not listed
-        self._totals: dict[int, int] = {}  # of the others, by id
+        self._members_with_refused: set[int] = set()  # those with refused ids
+        self._totals: dict[int, int] = {}  # sums over the other members, by id
         self._listed: set[int] = set()
         self._live = set(self._reports)
-        self._as_of_by_dead: dict[frozenset[int], dict[int, float]] = {}  # see ``as_of``
+        self._as_of_by_dead: dict[frozenset[int], dict[int, float]] = {}  # see ``as_of``; then by member
         self._oldest_as_of: dict[frozenset[int], float] = {}
-        self._awaiting: dict[int, set[int]] = {}  # members that must report all before a worker's sum is whole
+        self._awaiting: dict[int, set[int]] = {}  # by id: members whose full report is awaited
         self._own: dict[int, int] = {}
 
     def add_worker(self, wire_id: int) -> None:
-        """Take counts of a worker; whoever named it before it was listed must report all again."""
+        """Accept counts of a worker; members that reported it while it was not listed must report in full."""
         if wire_id in self._listed:
             return
         self._listed.add(wire_id)
@@ -62,7 +62,7 @@
                 self._awaiting.setdefault(wire_id, set()).add(member)
 
     def remove_worker(self, wire_id: int) -> None:
-        """Take no more counts of a worker."""
+        """Drop the counts of a worker, and refuse further ones."""
         self._listed.discard(wire_id)
         self._awaiting.pop(wire_id, None)
         for member, report in self._reports.items():
@@ -71,22 +71,22 @@
                 self._refuse(member, report, wire_id)
 
     def set_own(self, wire_id: int, count: int) -> None:
-        """Note the count of this member itself."""
+        """Set this member's own count."""
         if count:
             self._own[wire_id] = count
         else:
             self._own.pop(wire_id, None)
 
     def applied(self, member: int) -> int:
-        """The last datagram of a member that was applied: what is acknowledged to it."""
+        """The number of the member's last datagram that was applied, which is acknowledged to it."""
         return self._reports[member].applied
 
     def restart_member(self, member: int) -> None:
-        """A member has a new life: it starts to report anew; the old counts stand until it has told all."""
+        """A member restarted and reports anew; its old counts stay until its full report is complete."""
         self._reports[member].applied = 0
 
     def clear_member(self, member: int) -> None:
-        """A member's counts are void: it was silent for so long that nothing of it can be running."""
+        """Drop the counts of a member that has been silent for so long that none of its jobs can still run."""
         report = self._reports[member]
         if not report.applied and not report.counts:
             return
@@ -98,11 +98,11 @@
         self.set_live(self._live)
 
     def apply(self, member: int, message: Message) -> bool:
-        """Apply a report, if it is new and builds on what was applied; whether it did."""
+        """Apply a report if it is new and builds on what was applied; returns whether it was applied."""
         report = self._reports[member]
         if not message.base <= report.applied < message.number:
             return False
-        if message.base == 0 and report.applied == 0:  # else it goes on: what was taken was not yet acknowledged
+        if message.base == 0 and report.applied == 0:  # else it continues an unacknowledged report
             report.unconfirmed = set(report.counts)
             report.refused.clear()
             report.refused_overflow = False
@@ -127,7 +127,7 @@
         return True
 
     def _on_full_report(self, member: int, report: MemberReport) -> None:
-        """A member has told all: no sum waits for it, but of workers that it has just named in vain."""
+        """A full report is complete: the only sums that still wait for it are those of ids refused from it."""
         for wire_id in [w for w, members in self._awaiting.items() if member in members]:
             if not report.refused_overflow and wire_id not in report.refused:
                 self._awaiting[wire_id].discard(member)
@@ -135,7 +135,10 @@
                     del self._awaiting[wire_id]
 
     def record_as_of(self, member: int, as_of: float, dead: DeadSet, all_dead: DeadSet) -> None:
-        """A member's report is whole, and holds all that it had out at ``as_of``; ``all_dead`` as seen here."""
+        """Record that the counts of a member include everything that it had out at ``as_of``.
+
+        ``dead``: the dead members as it saw them; ``all_dead``: as this member sees them.
+        """
         report = self._reports[member]
         report.as_of = max(report.as_of, as_of)
         report.dead = dead
@@ -144,17 +147,20 @@
                 times[member] = max(times.get(member, NEVER), as_of)
 
     def set_live(self, live: Set[int]) -> None:
-        """These members live; the sums' age does not wait for others."""
+        """Set the live members; the age of sums does not depend on others."""
         self._live = set(live) & set(self._reports)
         self._as_of_by_dead.clear()
         self._oldest_as_of.clear()
 
     def invalidate_ages(self) -> None:
-        """Find the age of sums anew."""
+        """Make ``as_of`` compute the age of sums anew."""
         self._oldest_as_of.clear()
 
     def as_of(self, now: float, wire_id: int, dead_required: frozenset[int], all_dead: DeadSet) -> float:
-        """When the sum at a worker was whole; ``need``: whom a member must take to be dead to report it here."""
+        """The time as of which the sum at a worker is complete; NEVER if a full report is missing.
+
+        ``dead_required``: the members that a reporter must consider dead to send its count of this worker here.
+        """
         if wire_id in self._awaiting and self._awaiting[wire_id] & self._live:
             return NEVER
         oldest = self._oldest_as_of.get(dead_required)
@@ -170,14 +176,14 @@
         return min((times.get(m, NEVER) for m in self._live), default=now)
 
     def others(self, wire_id: int, member: int) -> int:
-        """The slots that all but one member have out at a worker."""
+        """The slots that all members but one have out at a worker."""
         if member == self.me:
             return self._totals.get(wire_id, 0)
         return (self._totals.get(wire_id, 0) + self._own.get(wire_id, 0)
                 - self._reports[member].counts.get(wire_id, 0))
 
     def total(self, wire_id: int) -> int:
-        """The slots that all have out at a worker."""
+        """The slots that all members have out at a worker."""
         return self._totals.get(wire_id, 0) + self._own.get(wire_id, 0)
 
     def _set_count(self, report: MemberReport, wire_id: int, count: int) -> None:
--- a/gaphub/occupancy/all_to_all.py
+++ b/gaphub/occupancy/all_to_all.py
@@ -1,6 +1,6 @@
-"""Owns the way all to all: each scheduler tells each other its counts.
+"""The all-to-all exchange: every scheduler sends its counts to every other one.
 
-Pure: no I/O, no clock, no randomness.  Its cost grows with the starts a second of the fleet, at every scheduler.
+No I/O, no clock, no randomness.  Its cost at every scheduler grows with the fleet's rate of job starts.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 from .messages import CAPACITY, DELTA, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode
 from .pacing import HEARTBEAT_INTERVAL_MS, Pacing
 
-TICK_MIN = 0.8  # of HEARTBEAT_MS; from one turn to the next at the least
-TICK_JITTER = 0.4  # of HEARTBEAT_MS; and so much more at the most, by chance, so that peers don't go in step
-TIMER_TOLERANCE_MS = 0.01  # ms; a timer may come due so much early, by rounding
+TICK_MIN = 0.8  # of HEARTBEAT_INTERVAL_MS: shortest time between two ticks
+TICK_JITTER = 0.4  # of HEARTBEAT_INTERVAL_MS: random part added, so that the ticks of peers do not synchronize
+TIMER_TOLERANCE_MS = 0.01  # by rounding, a timer may fire this much early
 
 
 class AllToAll:
-    """Each scheduler tells each other its counts: changes as they come, and a snapshot once in a while."""
+    """Sends each change of a count to all peers, and snapshots of all counts at intervals."""
 
     __slots__ = ("peer_slots", "complete", "_others", "_peer_counts", "_pacing", "_slots_out", "_next_tick_at",
                  "_wakeup")
 
     def __init__(self, now: float, others: int) -> None:
-        """``others``: how many other schedulers there are.  The first wakeup is wanted at once."""
+        """``others``: the number of other schedulers.  The first wakeup is due at once."""
         self._others = others
         self._peer_counts = PeerCounts(others)
         self._pacing = Pacing(others)
         self._slots_out: dict[int, float] = {}  # this scheduler's slots out at each listed worker
         self._next_tick_at = now
-        self._wakeup: float | None = now  # wanted, and not yet handed out
-        # Asked for each worker that is ranked: without a call in between.
+        self._wakeup: float | None = now  # not yet returned by ``take_wakeup``
+        # Read for each worker that is ranked, hence bound without a call in between.
         self.peer_slots = self._peer_counts.peer_slots
         self.complete = self._peer_counts.complete
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list; of a worker that it does not name nothing is told but that nothing is out there."""
+        """Take a worker list; a worker that is not listed is only ever reported with a count of 0."""
         self._slots_out = dict(slots_out)
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes."""
+        """Take the changes of the worker list."""
         for worker in gone:
             self._slots_out.pop(worker, None)
         self._slots_out.update(slots_out)
 
     def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Tell a send at once, and with it what is held back; hold an end back, among many peers."""
+        """Send an increased count at once, with those held back; among many peers, hold a decreased one back."""
         if worker in self._slots_out:
             self._slots_out[worker] = slots_out
         pacing = self._pacing
@@ -59,12 +59,12 @@
         return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Tell all peers, or each would have to find out by itself."""
+        """Send them to all peers, each of which would else have to find out by itself."""
         return (self.capacity_message(ALL_PEERS, capacities),)
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
-        """Note a peer's counts; answer one that has just started with a snapshot, and by chance the capacities."""
+        """Apply a peer's counts; answer a request with a snapshot and, at random, the known capacities."""
         message = self._peer_counts.receive(now, sender, data)
         if message is None:
             return NOTHING_RECEIVED
@@ -78,12 +78,12 @@
         return Received(replies)
 
     def take_wakeup(self) -> float | None:
-        """The next turn, or the moment at which ends that are held back must go."""
+        """Return the time of the next tick or flush, if it was not returned before."""
         wakeup, self._wakeup = self._wakeup, None
         return wakeup
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
-        """Take a turn, or tell what is held back if it still is."""
+        """Run a tick, or send the counts that are still held back."""
         if due == self._next_tick_at:
             return self._tick(now, random)
         flush_at = self._pacing.flush_at
@@ -113,7 +113,7 @@
         return [(worker, slots) for worker, slots in self._slots_out.items() if slots > 0]
 
     def counters(self) -> Mapping[str, int]:
-        """None: what the peers are told is in the counts of the socket."""
+        """There are none: messages sent and received are counted at the socket."""
         return {}
 
     @property
@@ -128,18 +128,18 @@
 
     @property
     def heard_share(self) -> float:
-        """The part of all schedulers that is heard, this one too."""
+        """The share of all schedulers that is heard, this one included."""
         return self._peer_counts.heard_share
 
     def request_snapshot(self, peer: int) -> Sequence[Outgoing]:
-        """Tell one peer this scheduler's counts, and ask it for its own."""
+        """Send one peer this scheduler's counts, and request its own."""
         return [Outgoing(peer, data) for data in self._pacing.encode_messages(SNAPSHOT_REQUEST, self._snapshot())]
 
     def remove_peer(self, peer: int) -> None:
-        """Drop what a peer has told: it has nothing out, or tells it in another way."""
+        """Drop the counts of a peer, which has nothing out or reports it by the sharded exchange."""
         self._peer_counts.remove_peer(peer)
 
     @staticmethod
     def capacity_message(peer: int, capacities: Mapping[int, float]) -> Outgoing:
-        """The slots of each kind of worker that are known here, for one peer or all."""
+        """A message that tells one peer or all the slots of each kind known here."""
         return Outgoing(peer, encode(CAPACITY, 0, list(capacities.items())))
--- a/gaphub/occupancy/budget.py
+++ b/gaphub/occupancy/budget.py
@@ -1,7 +1,7 @@
-"""Owns what the sharded exchange may spend: the token bucket, the pace that follows from it, what is told first.
+"""The bandwidth budget of the sharded exchange: a token bucket, the plan of a round, and the order of sums.
 
-Pure.  The bytes a second are kept whatever the load; what gives way is the age of sums, and the bound that is
-stated for it grows along.
+No I/O, no clock, no randomness.  The byte rate is kept under any load; instead the sums become older, and the
+bound stated for their age grows accordingly.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from .sums_messages import ENTRY_BYTES, HEADER_BYTES, MESSAGE_BYTES_MAX
 
 ROUND_MIN_MS = 1_000.0
-SILENT_ROUNDS = 5  # a member that said nothing for so many is dead
+SILENT_ROUNDS = 5  # a member that is silent for this many is considered dead
 SILENT_MIN_MS = 5_000.0
-LARGE_CHANGE = 0.25  # of the sum last told, and
-LARGE_MIN_SLOTS = 2  # slots at the least: such a change goes first
-LARGE_FRACTION = 0.25  # of a round's sums, at the most, are chosen for that; the rest are those told longest ago
-SUMS_MIN = 4  # in a round, however little the budget leaves
-REPORTS_MIN = 24  # counts reported to one peer in a round, however little the budget leaves
-REPORTS_FRACTION = 0.75  # of what the budget leaves for a peer and round is for reports, at the most
+LARGE_CHANGE = 0.25  # of the sum last sent: a change this large,
+LARGE_MIN_SLOTS = 2  # and of this many slots at least, is sent first
+LARGE_FRACTION = 0.25  # largest share of a round's sums for these; the rest are those sent longest ago
+SUMS_MIN = 4  # sums per peer and round, however small the budget
+REPORTS_MIN = 24  # counts reported per peer and round, however small the budget
+REPORTS_FRACTION = 0.75  # largest share of a peer's bytes per round that reports may take
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a scheduler may spend on the exchange."""
+    """The budget of one scheduler for the exchange."""
 
-    bytes_per_s: float = 11_000.0  # out; in it is as much, as all tell all the same
-    datagrams_per_s: float = 100.0  # out, of one datagram for each peer and round
-    silent_counts_ttl_ms: float = 60_000.0  # how long the counts of a silent scheduler stand
+    bytes_per_s: float = 11_000.0  # sent; as much is received, as all schedulers send alike
+    datagrams_per_s: float = 100.0  # sent, at one datagram per peer and round
+    silent_counts_ttl_ms: float = 60_000.0  # how long the counts of a silent scheduler are kept
 
 
 class TokenBucket:
-    """Bytes that may be sent: so many a second, and those of ``burst_s`` at once."""
+    """Limits the bytes sent to a rate, with bursts of up to ``burst_s`` seconds' worth."""
 
     __slots__ = ("_rate", "_capacity", "_level", "_refilled_at")
 
@@ -49,28 +49,28 @@
         return self._level >= MESSAGE_BYTES_MAX
 
     def spend(self, size: int) -> None:
-        """A datagram was sent."""
+        """Deduct the size of a datagram that was sent."""
         self._level -= size
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The pace of a round, and the bound for the age of sums that follows."""
+    """The plan of a round, and the bound on the age of sums that follows from it."""
 
     round_ms: float
-    sums: int  # how many are told to each peer in a round
-    reports: int  # how many counts may be reported to a peer in a round
-    cycle_ms: float  # within it each sum of a shard is told once
+    sums: int  # sums sent to each peer in a round
+    reports: int  # most counts reported to a peer in a round
+    cycle_ms: float  # within it, each sum of a shard is sent once
     silent_ms: float
     age_bound_ms: float
 
 
 def make_plan(limits: Limits, peers: int, shard: int, largest_shard: int, report_entries: float,
               last_round_ms: float) -> Plan:
-    """The pace for so many peers.
+    """Plan a round with this many peers.
 
-    ``shard`` is how many workers are aggregated here, ``largest_shard`` by whoever aggregates most;
-    ``report_entries`` were reported to each peer in the last round, which took ``last_round_ms``.
+    ``shard``: the number of workers aggregated here; ``largest_shard``: the most that any member aggregates.
+    ``report_entries`` counts were reported to each peer in the last round, which took ``last_round_ms``.
     """
     pace_ms = max(ROUND_MIN_MS, peers * 1_000.0 / limits.datagrams_per_s)
     peer_bytes = limits.bytes_per_s * pace_ms / 1_000.0 / max(1, peers)
@@ -84,21 +84,22 @@
     oldest_first = max(1, sums - int(sums * LARGE_FRACTION))
     cycle_ms = round_ms * max(1, -(-largest_shard // oldest_first))
     silent_ms = max(SILENT_MIN_MS, SILENT_ROUNDS * round_ms)
-    # A sum is lost once; or its aggregator is, which others see within a round of each other, then report anew.
+    # Two cases: one datagram with the sum is lost; or its aggregator dies, which the others notice within a round
+    # of each other, and then report anew to its successor.
     bound_ms = max(5 * round_ms + 2 * cycle_ms, silent_ms + 8 * round_ms + cycle_ms)
     return Plan(pace_ms, sums, reports, cycle_ms, silent_ms, bound_ms)
 
 
 class SumOrder:
-    """Which sums are told in a round: large relative changes first, then those told longest ago."""
+    """Chooses the sums of a round: large relative changes first, then those sent longest ago."""
 
     __slots__ = ("_last_sent",)
 
     def __init__(self) -> None:
-        self._last_sent: dict[int, int] = {}  # the sum last told, by id; told longest ago first
+        self._last_sent: dict[int, int] = {}  # by id: the sum last sent; sent longest ago first
 
     def choose(self, limit: int, shard: Iterable[int], total: Callable[[int], int]) -> list[int]:
-        """Up to so many of a shard's workers; these count as told.  Nothing else of the shard is remembered."""
+        """Choose up to ``limit`` workers of a shard and count them as sent; forgets workers not in the shard."""
         last_sent = self._last_sent
         present = set(shard)
         for wire_id in [w for w in last_sent if w not in present]:
@@ -116,7 +117,7 @@
         return chosen
 
     def _large_changes(self, limit: int, total: Callable[[int], int]) -> list[int]:
-        """The largest relative changes since they were told."""
+        """The workers whose sums changed most, relative to the sum last sent."""
         found = []
         for wire_id, previous in self._last_sent.items():
             change = abs(total(wire_id) - previous)
--- a/gaphub/occupancy/exchange.py
+++ b/gaphub/occupancy/exchange.py
@@ -1,8 +1,9 @@
-"""Owns the interface by which schedulers keep each other's occupancy known, and the way that tells nothing.
+"""The interface of an occupancy exchange, and the exchange that does nothing.
 
-Pure: no I/O, no clock, no randomness: times and random numbers are handed in, messages and the moments of wakeups
-are handed back.  It never says where a request goes, never names a worker that the list has not named, and never
-raises on what comes in: what cannot be read is dropped.
+An exchange tells other schedulers (peers) this scheduler's slots out at each worker, and adds up theirs.  It has
+no I/O, no clock and no randomness: the caller passes times and random numbers in, and gets messages and wakeup
+times back.  It takes no part in picking workers, reports nothing about a worker that was never listed, and raises
+nothing on received data: malformed messages are dropped.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple, Protocol
 
-ALL_PEERS = -1  # as the peer of a message: to each of them
-CAPACITY_REPLIES = 4  # peers, on average, that tell one which has just started the slots of each kind of worker
+ALL_PEERS = -1  # as the peer of a message: sent to every peer
+CAPACITY_REPLIES = 4  # mean number of peers that send a restarted scheduler the slots of each kind of worker
 
-Random = Callable[[], float]  # evenly spread in [0, 1)
+Random = Callable[[], float]  # uniform in [0, 1)
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent now."""
+    """A message to send now."""
 
     peer: int  # or ALL_PEERS
     data: bytes
 
 
 class Received(NamedTuple):
-    """What a message from a peer brings."""
+    """The result of a received message."""
 
     replies: Sequence[Outgoing] = ()
-    capacities: Mapping[int, int] = {}  # by kind of worker: the slots that the peer has seen
+    capacities: Mapping[int, int] = {}  # slots of a worker by kind, as the peer has seen them
 
 
 NO_MESSAGES: tuple[Outgoing, ...] = ()
@@ -35,83 +36,84 @@
 
 
 class OccupancyExchange(Protocol):
-    """A way for schedulers to tell each other the slots that each has out at each worker.
+    """Keeps the sums over all peers of their slots out at each worker.
 
-    The caller sends what a method returns, in its order, and then asks ``take_wakeup`` until it is None.
+    After each call the caller sends the returned messages in order, then calls ``take_wakeup`` until it returns
+    None.
     """
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list: the workers that it names, in its order, and this scheduler's slots out there.
+        """Take a complete worker list: this scheduler's slots out at each listed worker, in the list's order.
 
-        ``identities``: a number for each worker that is the same at every scheduler, whatever order lists had.
+        ``identities``: for each worker a number that every scheduler gives it, whatever the order of lists.
         """
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes: the workers that it names, and of those the ones that are gone."""
+        """Take the changes of the worker list: its new or changed workers, and those that are ``gone``."""
 
     def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Note this scheduler's slots out at a worker, ``slots_out`` now; ``more``: they have grown."""
+        """Record that this scheduler now has ``slots_out`` at a worker; ``increased``: more than before."""
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Note that the slots of a further kind of worker are known; ``capacities``: all known ones, by kind."""
+        """Announce that the slots of one more kind are known; ``capacities``: all known slots, by kind."""
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
-        """Take a peer's message; ``capacities``: the slots that this scheduler knows, by kind of worker."""
+        """Handle a peer's message; ``capacities``: the slots that this scheduler knows, by kind of worker."""
 
     def take_wakeup(self) -> float | None:
-        """A moment for ``on_wakeup`` that was not handed out before; None: no further one."""
+        """Return a time for ``on_wakeup`` that was not returned before, or None."""
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
-        """Do what is due: the moment ``due``, of ``take_wakeup``, has come."""
+        """Do what is due; ``due`` is the time that ``take_wakeup`` returned."""
 
     def complete(self, now: float) -> bool:
-        """Whether enough is known of the peers' occupancy for ``out`` to be used."""
+        """Whether enough of the peers' occupancy is known for ``peer_slots`` to be used."""
 
     def peer_slots(self, worker: int) -> int:
-        """The slots that the peers have out at a worker."""
+        """The slots that all peers together have out at a worker."""
 
     @property
     def heard_share(self) -> float:
-        """The part of all schedulers, this one too, whose slots out are known as they are now, 0 to 1.
+        """The share of all schedulers, this one included, whose present slots out are known, 0 to 1.
 
-        0 where ``out`` is of an earlier moment: then it is no bound on what all send in an instant.
+        0 where ``peer_slots`` describes an earlier moment and so does not bound what all send at the same time.
         """
 
     def counters(self) -> Mapping[str, int]:
-        """What operators may want to know of the way that is used, by name."""
+        """Counters and gauges of this exchange for operators, by name."""
 
 
 class NoExchange:
-    """No way at all: nothing is told and nothing known."""
+    """Sends nothing and knows nothing."""
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Ignored."""
+        """Ignore the list."""
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Ignored."""
+        """Ignore the list."""
 
     def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Tell nothing."""
+        """Send nothing."""
         return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Tell nothing."""
+        """Send nothing."""
         return NO_MESSAGES
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
-        """Drop it."""
+        """Drop the message."""
         return NOTHING_RECEIVED
 
     def take_wakeup(self) -> float | None:
-        """None is wanted."""
+        """No wakeup is ever due."""
         return None
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
-        """Tell nothing."""
+        """Send nothing."""
         return NO_MESSAGES
 
     def complete(self, now: float) -> bool:
@@ -124,9 +126,9 @@
 
     @property
     def heard_share(self) -> float:
-        """Nobody is heard."""
+        """No peer is heard."""
         return 0.0
 
     def counters(self) -> Mapping[str, int]:
-        """None."""
+        """There are none."""
         return {}
--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -1,8 +1,8 @@
-"""Owns the ids by which messages name workers.
+"""Worker ids in the messages of the sharded exchange; no I/O, no clock, no randomness.
 
-Pure.  A worker's number in this process depends on the order in which lists named it, where two names share a
-checksum; its id here depends on the names alone.  Names that share the first 32 bits get 32 others; should ids
-still meet, the id names both workers, and who reads it credits the sum to each.
+A worker's number in this process depends on the order of lists where two names share a checksum; its wire id
+depends only on the names known.  Workers whose names share the primary id, a CRC-32, use the fallback id, 32 bits
+of another hash.  If ids still collide, the id names all these workers, and a receiver credits each with the sum.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class IdChange(NamedTuple):
-    """A worker whose id has changed, as a name that shares the first one came or went."""
+    """A worker whose id changed because a name with the same primary id was added or removed."""
 
     number: int
     old_id: int
@@ -22,24 +22,24 @@
 
 
 def primary_id(name: str) -> int:
-    """The id of a worker whose name shares it with no other."""
+    """The id of a worker whose name is the only known one with this CRC-32."""
     return zlib.crc32(name.encode())
 
 
 def fallback_id(name: str) -> int:
-    """The id of a worker whose first id is shared."""
+    """The id of a worker whose primary id is shared."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 class Identities:
-    """Ids of the workers that are known, by their numbers in this process."""
+    """Wire ids of the known workers, by their numbers in this process."""
 
     __slots__ = ("_names", "_ids", "_numbers_by_primary_id", "_numbers")
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}  # by number
         self._ids: dict[int, int] = {}  # by number
-        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers by first id
+        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers by primary id
         self._numbers: dict[int, tuple[int, ...]] = {}  # by id
 
     def __contains__(self, number: int) -> bool:
@@ -57,11 +57,11 @@
         return self._ids[number]
 
     def numbers_of(self, wire_id: int) -> tuple[int, ...]:
-        """The workers that an id names: none, one, or several that cannot be told apart."""
+        """The workers that an id names: none, one, or several whose ids collide."""
         return self._numbers.get(wire_id, ())
 
     def add(self, number: int, name: str) -> list[IdChange]:
-        """Know a worker; whose ids have changed by it."""
+        """Add a worker, or change its name; returns the workers whose ids changed."""
         if self._names.get(number) == name:
             return []
         changes = self.remove(number) if number in self._names else []
@@ -70,7 +70,7 @@
         return changes + self._reassign(primary_id(name))
 
     def remove(self, number: int) -> list[IdChange]:
-        """Forget a worker; whose ids have changed by it."""
+        """Remove a worker; returns the workers whose ids changed."""
         name = self._names.pop(number, None)
         if name is None:
             return []
@@ -82,7 +82,7 @@
         return self._reassign(primary_id(name))
 
     def _reassign(self, primary: int) -> list[IdChange]:
-        """Give those that share a first id the ids that are due."""
+        """Give the workers that share a primary id their ids; returns those that changed."""
         sharing = self._numbers_by_primary_id.get(primary, set())
         unique = len({self._names[n] for n in sharing}) <= 1
         changes = []
@@ -99,7 +99,7 @@
         return changes
 
     def _release(self, number: int) -> None:
-        """Take an id from a worker."""
+        """Remove a worker from the index by id."""
         wire_id = self._ids.pop(number)
         remaining = tuple(n for n in self._numbers[wire_id] if n != number)
         if remaining:
--- a/gaphub/occupancy/ledger.py
+++ b/gaphub/occupancy/ledger.py
@@ -1,41 +1,41 @@
-"""Owns the ledger of the peers' occupancy: the slots that the other schedulers have out at each worker.
+"""The slots that each peer has out at each worker, as last received, and the sums over the peers.
 
-Pure: no I/O, no clock, no randomness.  It never raises on what comes in: what cannot be read is dropped.  A
-message holds counts, not changes of counts, so that the next one about a worker mends the loss of one before.
+No I/O, no clock, no randomness.  Raises nothing on received data: malformed messages are dropped.  Messages hold
+absolute counts, not increments, so that the next message about a worker makes up for a lost one.
 """
 
 from __future__ import annotations
 
 from .messages import CAPACITY, DELTA, SNAPSHOT_REQUEST, Message, decode, wire_id
 
-NEVER_MS = -1e18  # before any moment
-HEARTBEAT_TTL_MS = 3_500.0  # ms; a peer that told nothing for so long is not there, and its counts are dropped
-REORDER_MS = 100.0  # ms; a lower sequence number that comes later than this is of a new life, or wrapped round
+NEVER_MS = -1e18  # before any time
+HEARTBEAT_TTL_MS = 3_500.0  # a peer that sent nothing for this long is taken for gone, and its counts are dropped
+REORDER_MS = 100.0  # a lower sequence number later than this is of a restarted peer, or has wrapped around
 SEQUENCE_NUMBERS = 256
-QUORUM_BASE = 3  # peers that must be heard for sums to be used, where there are so many, and
-PEERS_PER_QUORUM_MEMBER = 8  # one more for each so many: in a large fleet some are always down
+QUORUM_BASE = 3  # peers, if there are as many, that must be heard for the sums to be used,
+PEERS_PER_QUORUM_MEMBER = 8  # and one more per this many: in a large fleet some are always down
 
 
 class PeerCounts:
-    """What each peer has out at each worker, by wire id, as it last told; and the sums over the peers."""
+    """Counts by peer and wire id, and their sums over the peers."""
 
     __slots__ = ("counts", "total", "heard_at", "sequence", "_quorum", "_others", "_checked_at", "_complete")
 
     def __init__(self, others: int) -> None:
-        """``others``: how many other schedulers there are."""
-        self.counts: dict[int, dict[int, int]] = {}  # by peer and wire id; no zeros
-        self.total: dict[int, int] = {}  # by wire id: the sums over the peers; no zeros
-        self.heard_at: dict[int, float] = {}  # by peer: when it was last heard
-        self.sequence: dict[int, int] = {}  # by peer: the sequence number of its last message
+        """``others``: the number of other schedulers."""
+        self.counts: dict[int, dict[int, int]] = {}  # by peer, then by wire id; no zeros
+        self.total: dict[int, int] = {}  # sums over the peers, by wire id; no zeros
+        self.heard_at: dict[int, float] = {}  # when each peer was last heard
+        self.sequence: dict[int, int] = {}  # sequence number of each peer's last message
         self._others = others
         self._quorum = min(others, QUORUM_BASE + others // PEERS_PER_QUORUM_MEMBER)
-        self._checked_at = NEVER_MS  # when ``_complete`` was found: it is asked for each worker
+        self._checked_at = NEVER_MS  # when ``_complete`` was computed: it is read for each worker ranked
         self._complete = False
 
     def receive(self, now: float, sender: int, data: bytes) -> Message | None:
-        """Note what a peer tells; its message, or None if it is dropped.
+        """Apply a peer's message and return it; None if it is dropped.
 
-        A CAPACITY message is handed back as it is: it tells nothing of occupancy.
+        A CAPACITY message is only returned: it holds no occupancy.
         """
         message = decode(data)
         if message is None:
@@ -46,7 +46,7 @@
         behind = (self.sequence.get(sender, sequence) - sequence) % SEQUENCE_NUMBERS
         if 0 < behind < SEQUENCE_NUMBERS // 2 and kind is not SNAPSHOT_REQUEST:
             if now - self.heard_at.get(sender, NEVER_MS) < REORDER_MS:
-                return None  # a later message of the same life was heard first
+                return None  # overtaken by a later message of the same process
         self._checked_at = NEVER_MS
         self.sequence[sender] = sequence
         self.heard_at[sender] = now
@@ -76,7 +76,7 @@
         counts.clear()
 
     def remove_peer(self, sender: int) -> None:
-        """Drop what a peer has told."""
+        """Drop the counts of a peer."""
         self._checked_at = NEVER_MS
         self.heard_at.pop(sender, None)
         self._clear(self.counts.pop(sender, {}))
@@ -84,7 +84,7 @@
     def complete(self, now: float) -> bool:
         """Whether enough peers are heard for the sums to be used.
 
-        A peer that is silent for ``HEARTBEAT_TTL_MS`` has nothing out, or is cut off.
+        A peer that is silent for ``HEARTBEAT_TTL_MS`` has nothing out or is cut off: its counts are dropped.
         """
         if now != self._checked_at:
             self._checked_at = now
@@ -101,7 +101,7 @@
 
     @property
     def heard_share(self) -> float:
-        """The part of all schedulers whose counts are known, this one among them."""
+        """The share of all schedulers whose counts are known, this one included."""
         return (1 + len(self.heard_at)) / (1 + self._others)
 
     def peer_slots(self, worker: int) -> int:
--- a/gaphub/occupancy/messages.py
+++ b/gaphub/occupancy/messages.py
@@ -1,11 +1,11 @@
-"""Owns the messages in which schedulers tell each other their occupancy: the slots that each has out at a worker.
+"""Codec of the all-to-all exchange: messages that hold the sender's slots out at workers.
 
-Pure: no I/O, no clock, no randomness.  It never raises on what comes in: what cannot be read is None.
+No I/O, no clock, no randomness.  Decoding raises nothing: a malformed datagram gives None.
 
-On the wire a message is ``format and kind`` (1 byte), a sequence number (1 byte), then entries of 3 bytes: the
-16-bit wire id of a worker (in a CAPACITY message: a kind of worker) and a count.  Every byte is paid for at every
-receiver, so that the price of one change grows with the fleet; hence the short ids.  Workers whose wire ids are
-the same are each credited with the sum, which makes them look fuller, never freer.
+On the wire a message is format and kind (1 byte), a sequence number (1 byte), then entries of 3 bytes: the 16-bit
+wire id of a worker (in a CAPACITY message: a kind of worker) and a count.  Ids are short because every change goes
+to every scheduler, so that the cost of a byte grows with the fleet.  Workers with the same wire id are each
+credited with the sum of their counts, so that they look fuller than they are, never freer.
 """
 
 from __future__ import annotations
@@ -14,43 +14,43 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-FORMAT = 0xD0  # the upper half of the first byte; the lower half is the kind
+FORMAT = 0xD0  # upper 4 bits of the first byte; the lower 4 are the kind
 HEADER_BYTES = 2
 ENTRY_BYTES = 3
 MESSAGE_BYTES_MAX = 256
 ENTRIES_MAX = (MESSAGE_BYTES_MAX - HEADER_BYTES) // ENTRY_BYTES
-DELTA_BYTES = HEADER_BYTES + ENTRY_BYTES  # of a DELTA that tells of one worker
-COUNT_MAX = 255  # a larger count is told as this
+DELTA_BYTES = HEADER_BYTES + ENTRY_BYTES  # of a DELTA with one entry
+COUNT_MAX = 255  # a larger count is sent as this
 
 
 class Kind(IntEnum):
-    """What a message tells."""
+    """What a message holds."""
 
-    DELTA = 0  # the sender's counts at some workers; its other counts stand as told before
-    SNAPSHOT = 1  # the counts at all workers where the sender has any
-    SNAPSHOT_REQUEST = 2  # a SNAPSHOT whose sender has just started and asks for one in return
-    CAPACITY = 3  # the slots of each kind of worker, as the sender has seen idle ones
+    DELTA = 0  # the sender's counts at some workers; its other counts are unchanged
+    SNAPSHOT = 1  # the counts at all workers where the sender has slots out
+    SNAPSHOT_REQUEST = 2  # a SNAPSHOT that requests one in return, as of a sender that has just started
+    CAPACITY = 3  # the slots of each kind of worker, as idle workers reported them to the sender
 
 
 KINDS = tuple(Kind)
-DELTA, SNAPSHOT, SNAPSHOT_REQUEST, CAPACITY = KINDS  # read for each message: faster than attributes of an enum
+DELTA, SNAPSHOT, SNAPSHOT_REQUEST, CAPACITY = KINDS  # read for each message; faster than enum attributes
 
 
 class Message(NamedTuple):
-    """A message that was read."""
+    """A decoded message."""
 
     kind: Kind
-    sequence: int  # counts the sender's messages, modulo 256; means nothing in a CAPACITY message
+    sequence: int  # numbers the sender's messages, modulo 256; unused in a CAPACITY message
     entries: dict[int, int]  # the count of each wire id
 
 
 def wire_id(worker: int) -> int:
-    """The 16 bits of a worker's id that messages carry."""
+    """A worker's id folded to the 16 bits that messages carry."""
     return (worker ^ (worker >> 16)) & 0xFFFF
 
 
 def encode(kind: Kind, sequence: int, entries: Sequence[tuple[int, float]]) -> bytes:
-    """One message of at most ``ENTRIES_MAX`` wire ids and counts; counts are rounded and end at ``COUNT_MAX``."""
+    """Encode at most ``ENTRIES_MAX`` wire ids and counts; counts are rounded and capped at ``COUNT_MAX``."""
     data = bytes((FORMAT | kind, sequence & 255))
     for key, n in entries:
         data += bytes((key >> 8, key & 255, max(0, min(COUNT_MAX, round(n)))))
@@ -58,7 +58,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """The message that a datagram holds; None if it holds none.  Counts of a wire id named twice are added."""
+    """Decode a datagram; None if it is malformed.  Counts of a repeated wire id are added up."""
     size = len(data)
     if not HEADER_BYTES <= size <= MESSAGE_BYTES_MAX or (size - HEADER_BYTES) % ENTRY_BYTES:
         return None
--- a/gaphub/occupancy/pacing.py
+++ b/gaphub/occupancy/pacing.py
@@ -1,7 +1,7 @@
-"""Owns the pace at which a scheduler tells its peers its occupancy: what is told when, and its sequence number.
+"""When a scheduler sends its counts in the all-to-all exchange, and the sequence numbers of its messages.
 
-Pure: no I/O, no clock, no randomness.  Every byte is paid for at every receiver (``messages.py``): among many
-schedulers the end of an attempt waits for others to go in one message, and the snapshot goes out more rarely.
+No I/O, no clock, no randomness.  The cost of a byte grows with the number of schedulers (``messages.py``): among
+many, counts that decreased are held back to share a message, and snapshots are sent less often.
 """
 
 from __future__ import annotations
@@ -10,33 +10,34 @@
 
 from .messages import DELTA, ENTRIES_MAX, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode, wire_id
 
-NEVER_MS = -1e18  # before any moment
-HEARTBEAT_INTERVAL_MS = 1_000.0  # ms; the time from one turn to the next, on average
-PEERS_PER_STEP = 8  # peers; for each so many snapshots go out a turn more rarely, and ends are held longer
-FLUSH_DELAY_MS = 60.0  # ms; for each PEERS_PER_STEP peers, how long the end of an attempt is held back
+NEVER_MS = -1e18  # before any time
+HEARTBEAT_INTERVAL_MS = 1_000.0  # mean time between two ticks
+PEERS_PER_STEP = 8  # per this many peers, snapshots come one tick later, and decreased counts are held longer
+FLUSH_DELAY_MS = 60.0  # per PEERS_PER_STEP peers: how long a decreased count is held back
 
 
 class Pacing:
-    """When a scheduler tells what: a send at once, ends held back, and once in a while a turn.
+    """Decides when to send: increased counts at once, decreased ones with a delay, and something at each tick.
 
-    A turn brings the first time a SNAPSHOT_REQUEST, then a SNAPSHOT each ``snapshot_turns`` turns, and between
-    them a DELTA of what is pending: an empty one, the heartbeat, if nothing was told lately.
+    The first tick sends a SNAPSHOT_REQUEST, the second and then every ``snapshot_ticks``-th a SNAPSHOT.  The
+    others send a DELTA of the pending counts; it is empty, as a heartbeat, if none is pending and nothing was sent
+    lately.
     """
 
     __slots__ = ("flush_delay_ms", "snapshot_ticks", "tick", "sequence", "pending", "flush_at", "sent_at")
 
     def __init__(self, others: int) -> None:
-        """``others``: how many other schedulers there are."""
+        """``others``: the number of other schedulers."""
         self.flush_delay_ms = FLUSH_DELAY_MS * (others // PEERS_PER_STEP)
         self.snapshot_ticks = 1 + others // PEERS_PER_STEP
         self.tick = -1
         self.sequence = -1
-        self.pending: set[int] = set()  # workers whose count has changed since it was told
-        self.flush_at = 0.0  # when what is pending is to be told; 0: nothing is held back
+        self.pending: set[int] = set()  # workers whose counts changed since they were sent
+        self.flush_at = 0.0  # when the pending counts must be sent; 0: none are held back
         self.sent_at = NEVER_MS
 
     def record_change(self, now: float, worker: int, increased: bool) -> bool:
-        """Note a change, ``more`` slots or fewer; whether to tell what is pending now."""
+        """Record a changed count, ``increased`` or decreased; whether to send the pending counts now."""
         self.pending.add(worker)
         if increased or not self.flush_delay_ms:
             return True
@@ -45,7 +46,7 @@
         return False
 
     def next_tick(self, now: float) -> Kind | None:
-        """What this turn brings; None: something was told lately, and that is enough of a heartbeat."""
+        """Begin a tick and return what it sends; None: a recent message is heartbeat enough."""
         self.tick += 1
         if self.tick == 0:
             return SNAPSHOT_REQUEST
@@ -54,16 +55,16 @@
         return DELTA if self.pending or now - self.sent_at >= HEARTBEAT_INTERVAL_MS / 2 else None
 
     def encode_broadcast(self, now: float, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
-        """Messages to all peers that tell these workers' counts; nothing is pending after them."""
+        """Encode workers' counts for all peers; nothing is pending after that."""
         self.pending.clear()
         self.flush_at = 0.0
         self.sent_at = now
         return self.encode_messages(kind, counts)
 
     def encode_messages(self, kind: Kind, counts: Iterable[tuple[int, float]]) -> list[bytes]:
-        """The same to one peer: what is pending for the others stays so.
+        """Encode workers' counts for one peer; what is pending for the others stays pending.
 
-        The first message is of the kind named; what does not fit in it follows in DELTA messages.
+        The first message is of the given kind; entries that do not fit in it follow in DELTA messages.
         """
         table = [(wire_id(worker), n) for worker, n in counts]
         messages = []
--- a/gaphub/occupancy/reports.py
+++ b/gaphub/occupancy/reports.py
@@ -1,9 +1,10 @@
-"""Owns what one peer has been told of this scheduler's own counts, and what it must still be told.
+"""The reports of this scheduler's own counts to one peer: what was sent, acknowledged and is still pending.
 
-Pure.  A report builds on the last one that the peer acknowledged: it holds every count that changed since.  In
-one round a report may take several datagrams, each building on the one before; in the next round it starts
-again from what was acknowledged, so that nothing lost stays lost.  Whoever took a datagram took those before it in
-its round, not those of earlier rounds: so an acknowledgement is one of the round's datagrams up to it alone.
+No I/O, no clock, no randomness.  A report builds on the last datagram that the peer acknowledged and holds every
+count that changed since.  Within a round it may take several datagrams, each building on the one before; the next
+round starts again from what was acknowledged, so that lost counts are repeated.  A peer that applied a datagram
+also applied the earlier ones of the same round, but not necessarily those of earlier rounds: an acknowledgement
+covers only the datagrams of its round up to its number.
 """
 
 from __future__ import annotations
@@ -11,36 +12,36 @@
 from collections import deque
 from collections.abc import Iterable
 
-SEND_TIMES_KEPT = 128  # datagrams of which the time is kept; an older echo proves nothing
-ROUNDS_KEPT = 4  # of which acknowledgements are understood; a later one only makes for a repetition
+SEND_TIMES_KEPT = 128  # datagrams whose send times are kept; an older echo has no known time
+ROUNDS_KEPT = 4  # rounds whose acknowledgements are understood; others only cause repetitions
 
 
 class PeerReports:
-    """The reports to one peer."""
+    """The state of the reports to one peer."""
 
     __slots__ = ("number", "base", "sent_ids", "_acknowledged", "_pending", "_send_times", "_round_starts")
 
     def __init__(self) -> None:
-        self.number = 0  # of the last datagram
-        self.base = 0  # what the next datagram builds on
-        self.sent_ids: set[int] = set()  # ids of which the peer may hold a count
+        self.number = 0  # sequence number of the last datagram
+        self.base = 0  # number of the datagram that the next one builds on; 0: none
+        self.sent_ids: set[int] = set()  # ids for which the peer may hold a count
         self._acknowledged = 0
-        self._pending: dict[int, tuple[int, ...]] = {}  # id: the datagrams that held its present count
-        self._round_starts: deque[int] = deque([1], maxlen=ROUNDS_KEPT)  # the first datagrams of rounds
+        self._pending: dict[int, tuple[int, ...]] = {}  # by id: datagrams with its present count
+        self._round_starts: deque[int] = deque([1], maxlen=ROUNDS_KEPT)  # first datagram of each round
         self._send_times: deque[tuple[int, float]] = deque(maxlen=SEND_TIMES_KEPT)
 
     def mark(self, wire_id: int) -> None:
-        """The peer must be told the present count of a worker."""
+        """Note that the present count of a worker must be reported."""
         self._pending.pop(wire_id, None)
         self._pending[wire_id] = ()
 
     def begin_round(self) -> None:
-        """Start again from what the peer acknowledged."""
+        """Begin a round, which builds on what the peer acknowledged."""
         self.base = self._acknowledged
         self._round_starts.append(self.number + 1)
 
     def unsent(self, limit: int) -> list[int]:
-        """Up to so many workers that were not told in this round, those that wait longest first."""
+        """Up to ``limit`` pending workers that were not sent in this round, those that wait longest first."""
         found: list[int] = []
         start = self._round_starts[-1]
         for wire_id, numbers in self._pending.items():
@@ -51,7 +52,7 @@
         return found
 
     def record_sent(self, now: float, wire_ids: Iterable[int]) -> None:
-        """A datagram with the number after ``number`` told the counts of these."""
+        """Record that the next datagram, numbered ``number + 1``, was sent with the counts of these workers."""
         self.number += 1
         self.base = self.number
         self._send_times.append((self.number, now))
@@ -60,13 +61,16 @@
             self.sent_ids.add(wire_id)
 
     def sent_time(self, number: int) -> float | None:
-        """When the datagram was sent that the peer echoes; None if that is not known."""
+        """The time at which the datagram that the peer echoes was sent; None if unknown."""
         while self._send_times and self._send_times[0][0] < number:
             self._send_times.popleft()
         return self._send_times[0][1] if self._send_times and self._send_times[0][0] == number else None
 
     def acknowledge(self, number: int) -> bool:
-        """The peer has taken all up to a number; False if it lost what it had acknowledged: tell it all."""
+        """Record that the peer applied everything up to a number.
+
+        False if it lost what it had acknowledged: then ``reset``, and report everything.
+        """
         if number < self._acknowledged:
             return False
         if self._acknowledged < number <= self.number:
@@ -79,7 +83,7 @@
         return True
 
     def reset(self, wire_ids: Iterable[int]) -> None:
-        """Tell all: these are the workers whose counts are not 0 and are told to this peer."""
+        """Report everything anew: the workers with a count above 0 that this peer must be told of."""
         self._acknowledged = self.base = 0
         self.sent_ids.clear()
         self._pending = dict.fromkeys(wire_ids, ())
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -1,12 +1,13 @@
-"""Owns the sharded exchange: each worker's counts go to one aggregator, which tells the sums to all.
+"""The sharded exchange: counts of a worker go to one scheduler, its aggregator, which sends the sums to all.
 
-Pure: no I/O, no clock, no randomness.  It sends nothing in answer to a datagram and never more than its budget; it
-never names a worker that was not listed, and never raises on what comes in.
+No I/O, no clock, no randomness.  It sends nothing in reply to a datagram and never more than its budget, reports
+nothing about a worker that was never listed, and raises nothing on received data.
 
-Every scheduler sends every other one datagram a round, spread over the round: its report to that peer, and sums of
-workers that it aggregates.  See docs/design/occupancy-at-size.md for what is promised.
+In each round, every scheduler sends every other one a datagram, or more if the entries need them: its report to
+that peer, and sums of workers that it aggregates.  The peers' turns are spread evenly over the round.
+docs/design/occupancy-at-size.md states the guarantees.
 
-The methods are those of the exchange all to all, and ``listed`` and ``unlisted``: workers need their names here.
+The methods are those of ``OccupancyExchange``, and ``add_worker`` and ``remove_worker``: workers need names here.
 """
 
 from __future__ import annotations
@@ -37,41 +38,41 @@
     needs_wide_entries,
 )
 
-MIN_WAKEUP_INTERVAL_MS = 100.0  # at the shortest between two wake-ups
-REVIEWS_PER_ROUND = 4  # in a round: who is silent, how old the sums are
-QUORUM_BASE = 3  # members that must be heard for sums to be used, where there are so many, and
-PEERS_PER_QUORUM_MEMBER = 8  # one more for each so many: in a large fleet some are always down
-FRESH_FRACTION_MIN = 0.9  # of the listed workers must have a sum within the age bound
+MIN_WAKEUP_INTERVAL_MS = 100.0  # shortest time between two wakeups
+REVIEWS_PER_ROUND = 4  # checks for silent members and of the age of sums
+QUORUM_BASE = 3  # members, if there are as many, that must be heard for the sums to be used,
+PEERS_PER_QUORUM_MEMBER = 8  # and one more per this many: in a large fleet some are always down
+FRESH_FRACTION_MIN = 0.9  # of the listed workers, whose sums must be within the age bound
 
 
 class DropReason(Enum):
-    """Why something that came in was not used."""
+    """Why received data was not used."""
 
-    STRANGER = "from nobody who is a member"
-    UNREADABLE = "of another format, or garbled"
-    LATE = "doubled, overtaken, or of an earlier life; what still holds of it is used"
-    UNLISTED = "a sum of a worker that is not listed"
-    GAP = "a report that builds on one that was lost"
-    UNPROVEN = "sums of unknown age"
-    DISAGREES = "sums by a view in which somebody is dead who is heard here"
+    STRANGER = "sender is not a member"
+    UNREADABLE = "unknown format, or malformed"
+    LATE = "duplicate, overtaken or of an earlier epoch; what is still valid in it is used"
+    UNLISTED = "sum of a worker that is not listed"
+    GAP = "report that builds on a lost one"
+    UNPROVEN = "sums of unknown age, as the echo proves none"
+    DISAGREES = "sums of a sender that considers a member dead which is heard here"
 
 
 @dataclass(slots=True)
 class _Peer:
-    """What is known of another member."""
+    """The state of another member."""
 
     heard_at: float
     reports: PeerReports = field(default_factory=PeerReports)
-    epoch: int | None = None  # of its present life; None: it was never heard
-    number: int = 0  # of its last datagram
+    epoch: int | None = None  # of its present process; None: never heard
+    number: int = 0  # of its newest datagram
 
 
 class ShardedExchange:
-    """One scheduler's part in the exchange."""
+    """One scheduler in the exchange."""
 
     def __init__(self, now: float, me: int, members: Iterable[int], epoch: int,
                  limits: Limits | None = None) -> None:
-        """``epoch``: of this process life, higher than of the one before; 1 to 2**32 - 1."""
+        """``epoch``: of this process, higher than that of the one before it; 1 to 2**32 - 1."""
         self.me = me
         self.epoch = epoch
         self.limits = limits or Limits()
@@ -85,24 +86,24 @@
         self._aggregator = Aggregator(me, others)
         self._sums = Sums()
         self._sum_order = SumOrder()
-        self._slots: dict[int, float] = {}  # own slots out, by the worker's number
-        self._counts: dict[int, int] = {}  # the same, rounded up, by id
-        self._delisted: set[int] = set()  # numbers that are not listed, with slots out
+        self._slots: dict[int, float] = {}  # own slots out, by worker number
+        self._counts: dict[int, int] = {}  # the same, rounded up, by wire id
+        self._delisted: set[int] = set()  # numbers of workers no longer listed that still have own slots out
         self._dead_set = DeadSet.of(frozenset())
         self._bucket = TokenBucket(now, self.limits.bytes_per_s)
-        self._round_sums: list[tuple[int, float]] = []  # ids whose sums this round sends, and their as-of times
-        self._next_peer = 0  # place in the order of peers
+        self._round_sums: list[tuple[int, float]] = []  # ids whose sums this round sends, with as-of times
+        self._next_peer = 0  # index into ``_peer_order``
         self._round_at = self._reviewed_at = now
-        self._entries_reported = 0  # counts told in reports in this round
+        self._entries_reported = 0  # counts reported in this round, to all peers
         self._complete_checked_at = NEVER
         self._complete = False
         self.plan = self._plan(0.0, 0.0)
-        self._wakeup: float | None = now + MIN_WAKEUP_INTERVAL_MS  # wanted, and not yet handed out
+        self._wakeup: float | None = now + MIN_WAKEUP_INTERVAL_MS  # not yet returned by ``take_wakeup``
 
     # Workers
 
     def add_worker(self, now: float, worker_id: int, name: str) -> None:
-        """A list names a worker; ``name`` tells it apart in all processes, its number only in this one."""
+        """Add a listed worker; ``name`` identifies it in all processes, ``worker_id`` only in this one."""
         self._delisted.discard(worker_id)
         old_id = self._identities.id_of(worker_id) if worker_id in self._identities else None
         id_changes = self._identities.add(worker_id, name)
@@ -114,7 +115,7 @@
         self._recount(wire_id)
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list; only what has changed since the last one costs work for each worker."""
+        """Take a complete worker list; costly work is done only for the workers that changed."""
         known = self._identities.numbers()
         for worker_id in known - slots_out.keys():
             self.remove_worker(now, worker_id)
@@ -126,7 +127,7 @@
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes."""
+        """Take the changes of the worker list."""
         for worker_id in gone:
             self.remove_worker(now, worker_id)
         for worker_id, slots in slots_out.items():
@@ -136,11 +137,11 @@
                 self.record_change(now, worker_id, slots, False)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Nothing: slots of kinds of workers are not told in this format."""
+        """Send nothing: this format does not carry the slots of kinds."""
         return ()
 
     def remove_worker(self, now: float, worker_id: int) -> None:
-        """A worker is listed no more; what is out at it is still reported."""
+        """Remove a worker that is no longer listed; while own slots are out there, they are still reported."""
         if worker_id not in self._identities:
             return
         if self._slots.get(worker_id):
@@ -149,7 +150,7 @@
             self._forget_worker(worker_id)
 
     def record_change(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
-        """The own slots out at a worker have changed; nothing is told before the next round."""
+        """Record a change of the own slots out at a worker; it is reported in the next round."""
         if worker_id not in self._identities:
             return ()
         if slots_out > 0.0:
@@ -188,7 +189,7 @@
         self._sums.remove(wire_id)
 
     def _recount(self, wire_id: int) -> None:
-        """Find the own count of an id anew, and note whom it must be told."""
+        """Compute the own count of an id, and if it changed, mark it in the reports to its targets."""
         slots = 0.0
         for number in self._identities.numbers_of(wire_id):
             slots += self._slots.get(number, 0.0)
@@ -204,7 +205,7 @@
             self._peers[member].reports.mark(wire_id)
 
     def _targets(self, wire_id: int) -> list[int]:
-        """Who must be told of a worker: its owner, and the suspects that would own it."""
+        """The members that counts of a worker are reported to: its owner, and dead ones that outscore it."""
         owner = self._assignment.owner.get(wire_id)
         if owner is None:
             return []
@@ -213,57 +214,57 @@
     # What is known
 
     def peer_slots(self, worker_id: int) -> int:
-        """The slots that the others have out at a worker; 0 where nothing is known."""
+        """The slots that all peers together have out at a worker; 0 if unknown."""
         if worker_id not in self._identities:
             return 0
         return self._newest_sum(self._identities.id_of(worker_id)).peer_slots
 
     @property
     def heard_share(self) -> float:
-        """0: sums are of earlier moments."""
+        """0, as sums describe earlier moments."""
         return 0.0
 
     def age(self, now: float, worker_id: int) -> float:
-        """How old ``out`` is, in ms: it holds all that was out then and still is; inf: nothing is known."""
+        """The age of ``peer_slots`` in ms: it includes all that was out then and still is; inf if unknown."""
         if worker_id not in self._identities:
             return inf
         as_of = self._newest_sum(self._identities.id_of(worker_id), now).as_of
         return now - as_of if as_of > NEVER else inf
 
     def fresh(self, now: float, worker_id: int) -> bool:
-        """Whether ``out`` is within the age bound."""
+        """Whether ``peer_slots`` is within the age bound."""
         return self.age(now, worker_id) <= self.plan.age_bound_ms
 
     def epoch_of(self, member: int) -> int | None:
-        """The epoch of a member's life that was heard last; None: it was never heard."""
+        """The epoch last heard of a member; None if it was never heard."""
         peer = self._peers.get(member)
         return None if peer is None else peer.epoch
 
     def heard_at(self, member: int) -> float:
-        """When a member last gave a sign of life in this format; long ago: it never did."""
+        """When a member was last heard in this format; NEVER if it was not."""
         peer = self._peers.get(member)
         return NEVER if peer is None or peer.epoch is None else peer.heard_at
 
     def complete(self, now: float, heard_otherwise: int = 0) -> bool:
-        """Whether enough members are heard and most sums are within the age bound; found once a round.
+        """Whether enough members are heard and most sums are within the age bound; computed once a round.
 
-        ``others_heard``: members that are heard in another way alone.
+        ``heard_otherwise``: the number of members that are heard in another format only.
         """
         if now - self._complete_checked_at >= self.plan.round_ms:
             self._complete_checked_at, self._complete = now, self._check_complete(now, heard_otherwise)
         return self._complete
 
     def heard_members(self) -> frozenset[int]:
-        """The other members that are heard in this format."""
+        """The other members that are heard in this format and not considered dead."""
         dead = self._assignment.dead
         return frozenset(m for m, peer in self._peers.items() if peer.epoch is not None and m not in dead)
 
     def refused_entries(self) -> int:
-        """Entries of reports that were dropped, as their workers were not listed."""
+        """The number of report entries dropped because their workers were not listed."""
         return self._aggregator.refused
 
     def counters(self) -> Counter[str]:
-        """What was sent and dropped so far."""
+        """Counters of what was sent and dropped."""
         counters = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in DropReason})
         counters["dropped.refused"] = self.refused_entries()
         counters["sent"] = self.sent_datagrams
@@ -281,7 +282,7 @@
         return sums.count_since(since) + aggregated >= FRESH_FRACTION_MIN * len(self._assignment.owner)
 
     def _newest_sum(self, wire_id: int, now: float = inf) -> Sum:
-        """The newest sum: what was told, or what is aggregated here."""
+        """The newer of the received sum and, for workers owned here, the one aggregated here."""
         received = self._sums.get(wire_id)
         if self._assignment.owner.get(wire_id) != self.me:
             return received
@@ -294,12 +295,12 @@
     # Sending
 
     def take_wakeup(self) -> float | None:
-        """A moment for ``on_wakeup`` that was not handed out before; None: no further one."""
+        """Return a time for ``on_wakeup`` that was not returned before, or None."""
         wakeup, self._wakeup = self._wakeup, None
         return wakeup
 
     def on_wakeup(self, now: float, due: float, random: Callable[[], float]) -> Sequence[Outgoing]:
-        """Send what is due: the moment ``due``, of ``take_wakeup``, has come."""
+        """Send what is due; ``due`` is the time that ``take_wakeup`` returned."""
         outgoing: list[Outgoing] = []
         self._review(now)
         while self._next_peer < self._peers_due(now) and self._bucket.allows(now):
@@ -311,7 +312,7 @@
         return outgoing
 
     def _peers_due(self, now: float) -> int:
-        """How many peers are to have been told by now in this round."""
+        """The number of peers that this round should have sent to by now."""
         elapsed_fraction = (now - self._round_at) / self.plan.round_ms
         return min(len(self._peer_order), ceil(elapsed_fraction * len(self._peer_order)))
 
@@ -326,7 +327,10 @@
         self._set_round_sums(now, self._sum_order.choose(self.plan.sums, shard, self._aggregator.total))
 
     def _set_round_sums(self, now: float, wire_ids: Iterable[int]) -> None:
-        """Note of when the sums of this round are; those of like age go together, as datagrams tell the oldest."""
+        """Set the sums of this round and their as-of times.
+
+        Sorted by age, so that a datagram, which states only its oldest age, holds sums of similar age.
+        """
         dated = [(self._own_sum_as_of(now, w), w) for w in wire_ids]
         self._round_sums = [(w, as_of) for as_of, w in sorted(dated) if as_of > NEVER]
 
@@ -337,7 +341,7 @@
                          last_round_ms)
 
     def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
-        """The datagrams of a round to a peer."""
+        """Build the datagrams of this round for a peer."""
         self._peers[member].reports.begin_round()
         sums = [] if member in self._assignment.dead else list(self._round_sums)
         remaining = self.plan.reports
@@ -355,7 +359,10 @@
 
     def _datagram(self, now: float, member: int, limit: int,
                   sums: list[tuple[int, float]]) -> tuple[bytes, int, bool]:
-        """The next datagram to a peer, how many counts it reports, and whether there are more; takes its sums."""
+        """Build the next datagram to a peer, and remove the sums that it holds from ``sums``.
+
+        Returns the datagram, how many counts it reports, at most ``limit``, and whether more are pending.
+        """
         peer = self._peers[member]
         wide = entry_capacity(self._dead_set, True)
         capacity = max(0, min(limit, REPORT_ENTRIES_MAX, wide))
@@ -379,7 +386,7 @@
         return encode(message), len(report), more
 
     def _sums_for(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
-        """What a peer is told of some workers, if they still are this member's to aggregate."""
+        """The sums for a peer, of those workers that are still aggregated here."""
         owner, others = self._assignment.owner, self._aggregator.others
         return {w: min(COUNT_MAX, others(w, member)) for w, _ in sums if owner.get(w) == self.me}
 
@@ -387,7 +394,7 @@
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Callable[[], float]) -> Received:
-        """Take a datagram; nothing is ever sent in answer."""
+        """Handle a datagram; nothing is sent in reply."""
         peer = self._peers.get(sender)
         if peer is None:
             self.dropped[DropReason.STRANGER] += 1
@@ -404,9 +411,9 @@
         return NOTHING_RECEIVED
 
     def _apply_message(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
-        """Take a message of the sender's present life."""
+        """Apply a message of the sender's present epoch."""
         late = message.number <= peer.number
-        if late:  # no sign of life, but each sum says of when it is, and a report on what it builds
+        if late:  # no sign of life, but sums carry their age, and reports their base
             self.dropped[DropReason.LATE] += 1
         else:
             peer.number = message.number
@@ -419,7 +426,7 @@
         self._apply_sums(message, built_after)
 
     def _is_current_epoch(self, now: float, sender: int, peer: _Peer, message: Message) -> bool:
-        """Whether a datagram is of its sender's present life; notes a new one."""
+        """Whether a datagram is of its sender's present epoch; records a new epoch."""
         if message.epoch != peer.epoch:
             silent = now - peer.heard_at > self.plan.silent_ms
             if peer.epoch is not None and message.epoch < peer.epoch and not silent:
@@ -430,7 +437,10 @@
         return True
 
     def _process_echo(self, sender: int, peer: _Peer, message: Message, late: bool) -> float | None:
-        """After when a datagram was built; None if it does not prove that."""
+        """Apply the acknowledgement; returns a time after which the datagram was built, None if unproven.
+
+        That is the send time of the datagram that it echoes.
+        """
         known = message.echo if message.echo_epoch == self.epoch else 0
         if not late and not peer.reports.acknowledge(known):
             peer.reports.reset([w for w in self._counts if sender in self._targets(w)])
@@ -456,17 +466,17 @@
         if unlisted:
             self.dropped[DropReason.UNLISTED] += unlisted
 
-    # Who lives
+    # Failure detection
 
     def _review(self, now: float) -> None:
-        """Find who is silent, and the sums' age anew, a few times a round."""
+        """Detect silent members and update the age of sums, ``REVIEWS_PER_ROUND`` times a round."""
         if now - self._reviewed_at < self.plan.round_ms / REVIEWS_PER_ROUND:
             return
         stopped = now - self._reviewed_at > self.plan.silent_ms / 2
         self._reviewed_at = now
         self._aggregator.invalidate_ages()
         self._set_round_sums(now, [w for w, _ in self._round_sums])
-        if stopped:  # whoever did not listen cannot say who was silent
+        if stopped:  # suspended meanwhile, and so unable to tell which members were silent
             for peer in self._peers.values():
                 peer.heard_at = max(peer.heard_at, now - self.plan.silent_ms / 2)
         silent_since = now - self.plan.silent_ms
@@ -479,7 +489,10 @@
                 self._aggregator.clear_member(member)
 
     def _on_member_dead(self, member: int) -> None:
-        """A member is dead: tell those who take its workers over, or would if they lived, what is out there."""
+        """Mark a member as dead, and its workers' counts as due to the new targets.
+
+        These are the new owners, and dead members that would own the workers if they were alive.
+        """
         previous_dead_above = {worker: self._assignment.dead_above(worker)
                                for worker in self._assignment.shards[member]}
         for worker, _, _ in self._assignment.mark_dead(member):
@@ -491,7 +504,7 @@
         self._update_dead_set()
 
     def _on_member_alive(self, now: float, member: int) -> None:
-        """A member lives again: what is its own returns to it, and what is known of that is kept."""
+        """Mark a member as alive: its workers return to it; the sums aggregated here until now are kept."""
         for worker in list(self._assignment.shards[self.me]):
             if member in self._assignment.dead_above(worker):
                 newest = self._newest_sum(worker, now)
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -1,7 +1,7 @@
-"""Owns the choice between the two ways of telling occupancy: all to all in small fleets, sharded in large ones.
+"""An exchange that is all to all while the worker list is short, and sharded while it is long.
 
-Pure: no I/O, no clock, no randomness.  It never tells all to all in a large fleet, but to peers that speak nothing
-else: processes of an older release, or such as have yet to hear that the fleet is large.
+No I/O, no clock, no randomness.  With a long list it sends counts all to all only to peers that use nothing else:
+processes of an older release, or those whose list is still short.
 """
 
 from __future__ import annotations
@@ -16,57 +16,57 @@
 from .sharded import ShardedExchange
 from .sums_messages import VERSION as SUMS_VERSION
 
-LARGE_FROM_WORKERS = 2_000  # listed; from so many on all to all costs more than a scheduler may spend
-SMALL_BELOW_WORKERS = 1_500  # lower, so that a fleet at the border does not change its way with each list
-LARGE_FROM_PEERS = 8  # others; fewer can bear all to all at any number of workers
-RECENT_ROUNDS = 2  # a peer that has sent a sign of life in the sharded format so lately speaks it
-EPOCH_MS = 100.0  # of process lives: none starts twice within this
+LARGE_FROM_WORKERS = 2_000  # listed workers from which all to all costs more than a scheduler may spend
+SMALL_BELOW_WORKERS = 1_500  # lower, as hysteresis: a list near the threshold must not switch back and forth
+LARGE_FROM_PEERS = 8  # with fewer peers, all to all is affordable for any number of workers
+RECENT_ROUNDS = 2  # a peer heard in the sharded format this many rounds ago or less uses it
+EPOCH_MS = 100.0  # resolution of epochs: no scheduler starts twice within this
 EPOCHS = 2**32 - 1
 
 _COUNTS = frozenset((Kind.DELTA, Kind.SNAPSHOT, Kind.SNAPSHOT_REQUEST))
 
 
 def epoch_at(now: float) -> int:
-    """The epoch of a process life that starts now, in ms of Unix time: higher than that of any life before."""
+    """The epoch of a process that starts ``now``, in ms of Unix time; higher than that of any earlier one."""
     return 1 + int(now / EPOCH_MS) % EPOCHS
 
 
 class SizedExchange:
-    """All to all while the list is short; sharded from ``LARGE_FROM_WORKERS`` workers on.
+    """Uses all to all for short worker lists, and sharding from ``LARGE_FROM_WORKERS`` workers on.
 
-    In a large fleet a peer counts as *legacy* while it tells counts all to all and is not heard in the sharded
-    format.  Legacy peers are told all to all, they alone, and what they tell is added to the sums.  One that asks
-    for a snapshot has a new life, whatever its last one spoke: it is legacy until it is heard in the sharded
-    format.
+    While sharding is used, a peer is *legacy* if it sends counts all to all and is not heard in the sharded
+    format.  Only legacy peers are sent counts all to all, and their counts are added to the sums.  A peer that
+    requests a snapshot has restarted, and is legacy until it is heard in the sharded format, whatever it used
+    before.
     """
 
     __slots__ = ("peer_slots", "complete", "_me", "_others", "_all_to_all", "_sharded", "_sharded_wakeup",
                  "_wakeup", "_legacy", "_upgraded", "_epochs", "_past_counters", "_identities")
 
     def __init__(self, now: float, me: int, others: int) -> None:
-        """``me``: this scheduler's number among ``others`` + 1; ``now``: its start."""
+        """``me``: this scheduler's number among ``others`` + 1; ``now``: the time of its start."""
         self._me = me
         self._others = others
         self._all_to_all = AllToAll(now, others)
         self._sharded: ShardedExchange | None = None
-        self._sharded_wakeup: float | None = None  # the wakeup of the sharded way that was handed out last
-        self._legacy: dict[int, float] = {}  # by peer: when it last told counts all to all
-        self._upgraded: dict[int, float] = {}  # by peer once legacy: until when its last counts all to all stand
-        self._epochs: dict[int, int] = {}  # by peer: the epoch of the life that was last heard
-        self._past_counters: Counter[str] = Counter()  # the figures of sharded ways that are used no more
+        self._sharded_wakeup: float | None = None  # the last one returned for the sharded exchange
+        self._legacy: dict[int, float] = {}  # legacy peers: when each last sent counts all to all
+        self._upgraded: dict[int, float] = {}  # peers no longer legacy: until when their last counts are kept
+        self._epochs: dict[int, int] = {}  # by peer: the epoch last heard
+        self._past_counters: Counter[str] = Counter()  # of former sharded exchanges
         self._identities: dict[int, int] = {}  # of the listed workers
         self._use_all_to_all()
 
     @property
     def sharded(self) -> ShardedExchange | None:
-        """The sharded way, where the fleet is large."""
+        """The sharded exchange, while it is used."""
         return self._sharded
 
     def _use_all_to_all(self) -> None:
         if self._sharded is not None:
             self._past_counters += self._sharded.counters()
         self._sharded = None
-        # Asked for each worker that is ranked: without a call in between.
+        # Read for each worker that is ranked, hence bound without a call in between.
         self.peer_slots = self._all_to_all.peer_slots
         self.complete = self._all_to_all.complete
 
@@ -78,10 +78,10 @@
             self._legacy[peer] = heard_at
         return sharded
 
-    # The list
+    # The worker list
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list, and change the way where its length asks for it."""
+        """Take a complete worker list, and switch the method if its length requires it."""
         self._all_to_all.set_workers(now, slots_out, identities)
         self._identities = dict(identities)
         self._choose_method(now)
@@ -90,7 +90,7 @@
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes, and change the way where the list's length asks for it."""
+        """Take the changes of the worker list, and switch the method if its new length requires it."""
         gone = list(gone)
         self._all_to_all.update_workers(now, slots_out, identities, gone)
         for worker in gone:
@@ -104,17 +104,17 @@
             self._sharded.set_workers(now, self._all_to_all.slots_out, self._identities)
 
     def _choose_method(self, now: float) -> None:
-        """Change the way where the length of the list asks for it."""
+        """Switch the method if the length of the worker list requires it."""
         workers = len(self._all_to_all.slots_out)
         if self._sharded is None and workers >= LARGE_FROM_WORKERS:
             self._use_sharded(now)
         elif self._sharded is not None and workers < SMALL_BELOW_WORKERS:
             self._use_all_to_all()
 
-    # Telling
+    # Sending
 
     def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Tell a change as each way does."""
+        """Record a change in both exchanges."""
         messages = self._all_to_all.record_change(now, worker, slots_out, increased)
         if self._sharded is None:
             return messages
@@ -122,21 +122,21 @@
         return self._for_legacy_peers(messages)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Tell all peers: the message is the same in both ways."""
+        """Send them to all peers: the message is the same with both methods."""
         return self._all_to_all.announce_capacity(capacities)
 
     def _for_legacy_peers(self, messages: Sequence[Outgoing]) -> Sequence[Outgoing]:
-        """What is meant for all peers goes to the legacy ones alone."""
+        """Readdress messages to all peers to the legacy ones only."""
         if not messages:
             return NO_MESSAGES
         return [Outgoing(peer, data) for to, data in messages
                 for peer in (self._legacy if to == ALL_PEERS else (to,))]
 
-    # Hearing
+    # Receiving
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
-        """Take a message of either format."""
+        """Handle a message of either format."""
         sharded = self._sharded
         if sharded is None:
             return self._all_to_all.on_message(now, sender, data, capacities, random)
@@ -144,7 +144,7 @@
             previous = sharded.heard_at(sender)
             sharded.on_message(now, sender, data, capacities, random)
             if sharded.heard_at(sender) == previous:
-                return NOTHING_RECEIVED  # garbled, or overtaken: it may be of a life that is over
+                return NOTHING_RECEIVED  # malformed, or overtaken: it may be of an ended process
             return self._on_sharded_peer(now, sender, sharded, capacities, random)
         received = self._all_to_all.on_message(now, sender, data, capacities, random)
         message = decode(data)
@@ -152,7 +152,7 @@
             return received
         recent_ms = RECENT_ROUNDS * sharded.plan.round_ms
         if message.kind is not Kind.SNAPSHOT_REQUEST and now - sharded.heard_at(sender) <= recent_ms:
-            if sender not in self._legacy:  # it took this one for legacy: the sums hold its counts, or soon will
+            if sender not in self._legacy:  # it took this scheduler for legacy; the sums will hold its counts
                 self._upgraded[sender] = now + sharded.plan.age_bound_ms
                 return received
         is_new = sender not in self._legacy
@@ -164,7 +164,7 @@
 
     def _on_sharded_peer(self, now: float, sender: int, sharded: ShardedExchange, capacities: Mapping[int, float],
                random: Random) -> Received:
-        """Note that a peer speaks the sharded format; tell a new life of it the capacities, by chance."""
+        """Note that a peer uses the sharded format; if it has restarted, send it the capacities, at random."""
         if self._legacy.pop(sender, None) is not None:
             self._upgraded[sender] = now + sharded.plan.age_bound_ms
         epoch = sharded.epoch_of(sender)
@@ -175,10 +175,10 @@
             return NOTHING_RECEIVED
         return Received([self._all_to_all.capacity_message(sender, capacities)])
 
-    # Time
+    # Wakeups
 
     def take_wakeup(self) -> float | None:
-        """The next moment of either way."""
+        """Return the next wakeup time of either exchange."""
         wakeup = self._all_to_all.take_wakeup()
         if wakeup is not None or self._sharded is None:
             return wakeup
@@ -188,7 +188,7 @@
         return wakeup
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
-        """Do what is due in the way whose moment it is."""
+        """Wake up the exchange whose time it is."""
         sharded = self._sharded
         if sharded is None:
             return self._all_to_all.on_wakeup(now, due, random)
@@ -198,7 +198,7 @@
         return self._for_legacy_peers(self._all_to_all.on_wakeup(now, due, random))
 
     def _expire(self, now: float) -> None:
-        """Forget the counts of legacy peers that are silent, and of former ones that the sums hold by now."""
+        """Drop the counts of silent legacy peers, and of former legacy peers that the sums now include."""
         silent = [p for p, heard_at in self._legacy.items() if now - heard_at > HEARTBEAT_TTL_MS]
         expired = [p for p, until in self._upgraded.items() if now > until]
         self._remove_peers(self._legacy, silent)
@@ -213,7 +213,7 @@
 
     @property
     def heard_share(self) -> float:
-        """The part of all schedulers that is heard all to all; 0 in a large fleet, where sums are seconds old."""
+        """The share of all schedulers that is heard all to all; 0 with sharding, as sums are seconds old."""
         return 0.0 if self._sharded is not None else self._all_to_all.heard_share
 
     def _sharded_peer_slots(self, worker: int) -> int:
@@ -221,7 +221,10 @@
         return self._sharded.peer_slots(worker) + self._all_to_all.peer_slots(worker)
 
     def counters(self) -> Mapping[str, int]:
-        """What was sent and dropped in the sharded format; ``sharded``: 1 in a large fleet."""
+        """What was sent and dropped in the sharded format.
+
+        Also two gauges: ``sharded``, 1 while sharding is used, and ``legacy``, the number of legacy peers.
+        """
         sharded = self._sharded
         counters = self._past_counters + sharded.counters() if sharded is not None else self._past_counters
         return {**counters, "sharded": int(sharded is not None),
--- a/gaphub/occupancy/status.py
+++ b/gaphub/occupancy/status.py
@@ -1,6 +1,6 @@
-"""Owns what an operator is shown of an exchange: by which way it tells, whether it is complete, how old sums are.
+"""The status of an exchange for operators: its method, whether it is complete, and the age of its sums.
 
-Pure.  It looks at each worker, so it is found only when it is asked for.
+No I/O, no clock, no randomness.  Computed on request only, as it looks at every worker.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ExchangeMethod(Enum):
-    """How a scheduler tells its occupancy."""
+    """How a scheduler exchanges its occupancy."""
 
     NONE = "none"
     ALL_TO_ALL = "all to all"
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True)
 class OccupancyStatus:
-    """What a scheduler knows of the others' occupancy; ages are of the sums, over the listed workers."""
+    """What a scheduler knows of its peers' occupancy; the ages are percentiles over the listed workers."""
 
     way: ExchangeMethod
     complete: bool
-    age_p50_ms: float | None = None  # None: no sums, or nothing is known of so many
+    age_p50_ms: float | None = None  # None: no sums, or none for the worker at this percentile
     age_p99_ms: float | None = None
 
 
 def occupancy_status(exchange: OccupancyExchange, now: float, workers: Iterable[int]) -> OccupancyStatus:
-    """The state of an exchange; ``workers``: the listed ones."""
+    """The status of an exchange; ``workers``: the listed ones."""
     if isinstance(exchange, NoExchange):
         return OccupancyStatus(ExchangeMethod.NONE, False)
     sharded = exchange.sharded if isinstance(exchange, SizedExchange) else None
@@ -45,7 +45,7 @@
 
 
 def _percentile(ages: list[float], fraction: float) -> float | None:
-    """The age that so many are not above."""
+    """The age that this fraction of the sorted ages does not exceed; None if unknown."""
     if not ages:
         return None
     age = ages[min(len(ages) - 1, int(fraction * len(ages)))]
--- a/gaphub/occupancy/sums.py
+++ b/gaphub/occupancy/sums.py
@@ -1,7 +1,8 @@
-"""Owns what a scheduler believes of the others' slots at each worker, and how old that is.
+"""The received sums of the peers' slots out at each worker, each with its as-of time.
 
-Pure.  The newest sum wins, whoever aggregated it: a sum says of when it is.  So the sum of an aggregator that
-went holds, ageing, until its successor has a whole one, and one that was stopped and wakes replaces nothing.
+No I/O, no clock, no randomness.  The newest sum wins, whichever aggregator sent it.  So the sum of an aggregator
+that is down stays in use, ageing, until its successor has a complete one, and an aggregator that was suspended and
+resumes cannot replace newer sums.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Sum(NamedTuple):
-    """The others' slots at a worker, with all that they had out at ``as_of``."""
+    """The slots of all peers at a worker, including everything that they had out at ``as_of``."""
 
     peer_slots: int
     as_of: float  # ms
@@ -23,18 +24,18 @@
 
 
 class Sums:
-    """Sums by id."""
+    """The newest sum for each wire id."""
 
     __slots__ = ("_sums",)
 
     def __init__(self) -> None:
-        self._sums: dict[int, tuple[int, float]] = {}  # as in ``Sum``; thousands are taken each second
+        self._sums: dict[int, tuple[int, float]] = {}  # the fields of ``Sum``; thousands come per second
 
     def __len__(self) -> int:
         return len(self._sums)
 
     def update(self, received: Mapping[int, int], as_of: float, listed: Container[int]) -> int:
-        """Believe the sums that are newer than what is held, of listed workers; how many are of others."""
+        """Store the sums of listed workers that are newer than those held; returns the number not listed."""
         sums, unlisted = self._sums, 0
         for wire_id, peer_slots in received.items():
             stored = sums.get(wire_id)
@@ -48,14 +49,14 @@
         return unlisted
 
     def get(self, wire_id: int) -> Sum:
-        """What is believed of a worker."""
+        """The newest sum for a worker."""
         stored = self._sums.get(wire_id)
         return UNKNOWN_SUM if stored is None else Sum(*stored)
 
     def count_since(self, since: float) -> int:
-        """How many sums are not older."""
+        """The number of sums as of ``since`` or later."""
         return sum(as_of >= since for _, as_of in self._sums.values())
 
     def remove(self, wire_id: int) -> None:
-        """A worker is not listed any more."""
+        """Remove the sum of a worker that is no longer listed."""
         self._sums.pop(wire_id, None)
--- a/gaphub/occupancy/sums_messages.py
+++ b/gaphub/occupancy/sums_messages.py
@@ -1,13 +1,13 @@
-"""Owns the messages of the sharded exchange: a datagram holds a report to the receiver, and sums from the sender.
+"""Codec of the sharded exchange: a datagram holds a report to the receiver and sums that the sender aggregated.
 
-Pure.  The first byte is the format's version: 0xE1, told apart from the counts of all to all (0xD0 to 0xDF), from
-beats (0xC2) and from the store's messages (``gh1``).  What cannot be read raises ``MessageError``, nothing
-else.
+No I/O, no clock, no randomness.  The first byte is the version of the format, 0xE1, which differs from the first
+bytes of the all-to-all exchange (0xD0 to 0xDF), heartbeats (0xC2) and the store's messages (``gh1``).  Decoding
+raises ``MessageError`` on a malformed datagram, and nothing else.
 
-Head (big endian): version 1 byte; flags 1; sender's epoch 4; number 4; base 4; epoch echoed 4; number echoed 4;
-age of the sums 2; how many dead 1; how many counts are reported 1.  Then the dead (2 bytes each, or a digest of
-4), the reported counts, and the sums to the end.  An entry is a worker's id (4 bytes) and a count: of one byte,
-or of two in all entries of a datagram that has to tell a larger one.
+Header (big endian): version, 1 byte; flags, 1; sender's epoch, 4; sequence number, 4; base, 4; echoed epoch, 4;
+echoed number, 4; age of the sums, 2; number of dead members, 1; number of reported counts, 1.  Then come the dead
+members (2 bytes each, or a digest of 4 bytes), the reported counts, and to the end the sums.  An entry is a
+worker's id (4 bytes) and a count of 1 byte; all counts of a datagram take 2 bytes if one of them needs it.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 VERSION = 0xE1
 MESSAGE_BYTES_MAX = 256
-COUNT_MAX = 0xFFFF  # a larger count is told as this
+COUNT_MAX = 0xFFFF  # a larger count is sent as this
 AGE_UNIT_MS = 100.0
-AGE_MAX_MS = 0xFFFF * AGE_UNIT_MS  # an older one is told as this, and is past every bound
-DEAD_NAMED_MAX = 8  # more are told as a digest
+AGE_MAX_MS = 0xFFFF * AGE_UNIT_MS  # a higher age is sent as this; it exceeds every age bound
+DEAD_NAMED_MAX = 8  # more dead members are sent as a digest
 REPORT_ENTRIES_MAX = 255
 
 _HEADER = struct.Struct(">BBIIIIIHBB")
@@ -37,20 +37,20 @@
 _NARROW_ENTRY = struct.Struct(">IB")
 _WIDE_ENTRY = struct.Struct(">IH")
 _NARROW_MAX = 0xFF
-ENTRY_BYTES = _NARROW_ENTRY.size  # the usual
+ENTRY_BYTES = _NARROW_ENTRY.size  # of a narrow entry, the usual one
 ENTRY_BYTES_MAX = _WIDE_ENTRY.size
 
 
 class Fault(Enum):
-    """Why a datagram is dropped."""
+    """Why a datagram cannot be decoded."""
 
-    UNKNOWN_FORMAT = "of another format or version"
-    SIZE = "too short or too long"
-    MALFORMED = "does not hold what its head says"
+    UNKNOWN_FORMAT = "unknown format or version"
+    SIZE = "datagram too short or too long"
+    MALFORMED = "content does not match the header"
 
 
 class MessageError(Exception):
-    """A datagram that cannot be read."""
+    """A datagram cannot be decoded."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault.value)
@@ -59,27 +59,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadSet:
-    """The members that a sender takes to be dead: their names, or a digest where there are many."""
+    """The members that a sender considers dead: their numbers, or only a digest if there are many."""
 
     named: frozenset[int] | None
     digest: int
 
     @staticmethod
     def of(dead: Set[int]) -> DeadSet:
-        """As a message can tell it."""
+        """The set as a message can hold it."""
         if not dead:
             return _NOBODY_DEAD
         digest = zlib.crc32(b"".join(m.to_bytes(2, "big") for m in sorted(dead)))
         return DeadSet(frozenset(dead) if len(dead) <= DEAD_NAMED_MAX else None, digest)
 
     def includes(self, members: frozenset[int], all_dead: DeadSet) -> bool:
-        """Whether some of another's dead are dead here too; ``all_dead`` is all of the other's."""
+        """Whether this set is known to hold ``members``, which are some of ``all_dead``."""
         if not members or self.digest == all_dead.digest:
             return True
         return self.named is not None and members <= self.named
 
     def is_covered_by(self, dead: Set[int], all_dead: DeadSet) -> bool:
-        """Whether nobody is dead here who is not in ``dead``, which ``all_dead`` tells too."""
+        """Whether this set is known to be a subset of ``dead``; ``all_dead`` is ``dead`` as a DeadSet."""
         if self.digest == all_dead.digest:
             return True
         return self.named is not None and self.named <= dead
@@ -92,30 +92,30 @@
 class Message:
     """One datagram."""
 
-    epoch: int  # the sender's process life; a later one is higher
-    number: int  # counts the sender's datagrams to this receiver from 1
-    base: int  # the report holds what has changed since this number; 0: all that is not 0
-    more: bool  # whether the report goes on in the next datagram
-    echo_epoch: int  # of the receiver, as the sender knows it
-    echo: int  # the last number taken from the receiver in that epoch; 0: none
-    age_ms: float  # of the oldest report that the sums hold; on the wire rounded up
+    epoch: int  # of the sender's process; a later start has a higher one
+    number: int  # sequence number of the sender's datagrams to this receiver, from 1
+    base: int  # the report holds the changes since this datagram; 0: all counts above 0
+    more: bool  # whether the report continues in the next datagram
+    echo_epoch: int  # the receiver's epoch as the sender knows it
+    echo: int  # number of the receiver's last datagram of that epoch that was applied; 0: none
+    age_ms: float  # of the oldest report that went into the sums; rounded up on the wire
     dead: DeadSet
     report: dict[int, int]  # the sender's own counts
-    sums: dict[int, int]  # all others' counts, without the receiver's
+    sums: dict[int, int]  # of the counts of all members but the receiver
 
 
 def entry_capacity(dead: DeadSet, wide: bool) -> int:
-    """How many entries a message has room for."""
+    """The number of entries that fit in a message."""
     return (MESSAGE_BYTES_MAX - HEADER_BYTES - dead_bytes(dead)) // (ENTRY_BYTES_MAX if wide else ENTRY_BYTES)
 
 
 def needs_wide_entries(count: int) -> bool:
-    """Whether a count needs a datagram of wide entries."""
+    """Whether a count does not fit in a narrow entry."""
     return count > _NARROW_MAX
 
 
 def dead_bytes(dead: DeadSet) -> int:
-    """The bytes that the dead take in a message."""
+    """The size of the dead set in a message."""
     return 4 if dead.named is None else 2 * len(dead.named)
 
 
@@ -124,7 +124,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message; the caller sees to it that they are at most ``MESSAGE_BYTES_MAX``."""
+    """Encode a message; the caller ensures that it fits in ``MESSAGE_BYTES_MAX``."""
     dead = message.dead
     if dead.named is None:
         dead_count, dead_data = 0, dead.digest.to_bytes(4, "big")
@@ -140,7 +140,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """The message that a datagram holds."""
+    """Decode a datagram; MessageError if it is malformed."""
     if not data or data[0] != VERSION:
         raise MessageError(Fault.UNKNOWN_FORMAT)
     if not HEADER_BYTES <= len(data) <= MESSAGE_BYTES_MAX:
