--- a/tests/occupancy_network.py
+++ b/tests/occupancy_network.py
@@ -207,8 +207,8 @@
                          for name, value in vars(self).items())
 
 
-def at_size(members: int, seconds: int, workers: int = 11_000, changes_per_s: int = 5_000,
-            running: int = 310_000, sampled: int = 8, loss: float = 0.0, seed: int = 1) -> Measured:
+def measure_at_size(members: int, seconds: int, workers: int = 11_000, changes_per_s: int = 5_000,
+                    running: int = 310_000, sampled: int = 8, loss: float = 0.0, seed: int = 1) -> Measured:
     """The decisive size in a calm: ``seconds`` after a start of all, figures from the last ten.
 
     The members share one assignment and one table of ids, which are the same in a calm; so the 11,000 workers
@@ -330,4 +330,5 @@
 
 if __name__ == "__main__":
     print("cpu_of_one", round(cpu_of_one(int(sys.argv[1])), 2))
-    print(at_size(int(sys.argv[1]), int(sys.argv[2]), loss=float(sys.argv[3]) if len(sys.argv) > 3 else 0.0))
+    print(measure_at_size(int(sys.argv[1]), int(sys.argv[2]),
+                          loss=float(sys.argv[3]) if len(sys.argv) > 3 else 0.0))
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -33,8 +33,8 @@
 WARM_UP_S = 4.0
 HALF_S = 2.5
 WITHIN_S = 40.0
-MULTIPLE = 3.0
-START = 0.31
+FALL_MULTIPLE = 3.0
+COLD_FROM = 0.31
 WARM_MS = 8900.0
 WORK_MS = {"poloha": 60.0, "udalost": 120.0, "vyuctovani": 300.0}
 SHARES = {"poloha": 0.6, "udalost": 0.3, "vyuctovani": 0.1}
@@ -62,11 +62,11 @@
         self.started_at = time.monotonic()
         self.starts.append(self.started_at)
 
-    def warmth(self, at: float) -> float:
+    def warm_fraction(self, at: float) -> float:
         """The part of its capacity at a moment."""
         if not self.started_at:
             return 1.0
-        return START + (1.0 - START) * min(1.0, max(0.0, (at - self.started_at) * 1e3 / WARM_MS))
+        return COLD_FROM + (1.0 - COLD_FROM) * min(1.0, max(0.0, (at - self.started_at) * 1e3 / WARM_MS))
 
     def __call__(self, attempt: Attempt, conversation: Conversation) -> None:
         if self.refuses and self.running >= self.slots:
@@ -90,7 +90,7 @@
             attempt, conversation = self.waiting.popleft()
             self.running += 1
             work_s = self.times * WORK_MS[attempt.cls] * self.rng.uniform(0.7, 1.3) / 1e3
-            stamped().call_later(work_s / self.warmth(time.monotonic()), self._done, attempt, conversation)
+            stamped().call_later(work_s / self.warm_fraction(time.monotonic()), self._done, attempt, conversation)
 
     def _done(self, attempt: Attempt, conversation: Conversation) -> None:
         self.running -= 1
@@ -132,8 +132,9 @@
     for n, begin in enumerate(attempts):
         inside = list(itertools.takewhile(lambda a: a.first < begin.first + fall_s, attempts[n:]))  # noqa: B023
         work = sum(WORK_MS[a.cls] / MEAN_MS for a in inside)
-        can = server.capacity * fall_ms * (server.warmth(begin.first) + server.warmth(begin.first + fall_s)) / 2
-        worst = max(worst, Window(inside, work, MULTIPLE * can), key=lambda window: window.share)
+        can = server.capacity * fall_ms * (
+            server.warm_fraction(begin.first) + server.warm_fraction(begin.first + fall_s)) / 2
+        worst = max(worst, Window(inside, work, FALL_MULTIPLE * can), key=lambda window: window.share)
     return worst
 
 
@@ -236,7 +237,8 @@
     discovery = Discovery()
     fleet = Fleet(case.schedulers, discovery, {
         "limits": {"peerMessages": case.hears is not None},
-        "rules": {"startCapacity": START, "warmAfter": WARM_MS, "fall": case.fall_ms, "fallMultiple": MULTIPLE},
+        "rules": {"startCapacity": COLD_FROM, "warmAfter": WARM_MS, "fall": case.fall_ms,
+                  "fallMultiple": FALL_MULTIPLE},
         "report": {"fields": ["x0", "inflight", "queue"], "via": "inline"},
         "familyInfo": {"reportX0": "free slots"},
     }, case.hears or (lambda a, b: False), seed)
@@ -294,7 +296,7 @@
 def out_at_a_cold_worker(heard: int) -> int:
     """What one of the schedulers has out there at the most, if it hears so many others that have nothing out."""
     world = World(1, balancers=SCHEDULERS, may_tell_peers=True, report_fields=("free_slots", "inflight"),
-                  reports_in_answers=True, cold_from=START, cold_ms=WARM_MS)
+                  reports_in_answers=True, cold_from=COLD_FROM, cold_ms=WARM_MS)
     world.serve(world.request(), report=(12.0, 0.0))
     for sender in range(1, heard + 1):
         world.balancer.on_peer(world.now, sender, encode(Kind.SNAPSHOT, 0, []))
--- a/tests/test_occupancy_at_size.py
+++ b/tests/test_occupancy_at_size.py
@@ -36,7 +36,7 @@
     encode,
 )
 
-from .occupancy_network import Network, Weather, at_size
+from .occupancy_network import Network, Weather, measure_at_size
 
 IDS = st.integers(0, 2**32 - 1)
 NUMBERS = st.integers(1, 2**32 - 1)
@@ -601,7 +601,7 @@
 
 
 def test_the_measurement_at_a_small_size() -> None:
-    measured = at_size(12, 25, workers=300, changes_per_s=200, running=3_000)
+    measured = measure_at_size(12, 25, workers=300, changes_per_s=200, running=3_000)
     assert measured.bytes_out <= 11_000 * 1.1
     assert measured.unknown == 0
     assert 0 < measured.age_p99_ms <= measured.age_bound_ms
--- a/tests/test_occupancy_processes.py
+++ b/tests/test_occupancy_processes.py
@@ -45,7 +45,7 @@
            "sized.LARGE_FROM_WORKERS = sized.SMALL_BELOW_WORKERS = {}; "
            "from gaphub.__main__ import main; sys.exit(main())")
 CLASSES = ("poloha", "udalost", "vyuctovani")  # the last two must not run twice
-START, WARM_MS, FALL_MS, MULTIPLE = 0.3, 8_000.0, 1_000.0, 3.0
+COLD_FROM, WARM_MS, FALL_MS, FALL_MULTIPLE = 0.3, 8_000.0, 1_000.0, 3.0
 
 
 # The network
@@ -139,10 +139,10 @@
         if self._server is not None:
             self._server.close()
 
-    def warmth(self, at: float) -> float:
+    def warm_fraction(self, at: float) -> float:
         if not self.started_at:
             return 1.0
-        return START + (1.0 - START) * min(1.0, max(0.0, (at - self.started_at) * 1e3 / WARM_MS))
+        return COLD_FROM + (1.0 - COLD_FROM) * min(1.0, max(0.0, (at - self.started_at) * 1e3 / WARM_MS))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert self._free is not None
@@ -161,7 +161,7 @@
                 self.peak = max(self.peak, self.here)
                 try:
                     async with self._free:
-                        await asyncio.sleep(self.work_s / self.warmth(time.monotonic()))
+                        await asyncio.sleep(self.work_s / self.warm_fraction(time.monotonic()))
                 finally:
                     self.here -= 1
                 body = json.dumps({"id": ident, "state": "done", "result": "r"}).encode() + b"\n"
@@ -266,8 +266,8 @@
                 "settings": {**SETTINGS, "grades": grades, "limits": limits, "me": n, "balancers": SCHEDULERS,
                              "report": {"fields": ["x0", "inflight"], "via": "inline"},
                              "familyInfo": {"reportX0": "free slots"},
-                             "rules": {"startCapacity": START, "warmAfter": WARM_MS, "fall": FALL_MS,
-                                       "fallMultiple": MULTIPLE}}}))
+                             "rules": {"startCapacity": COLD_FROM, "warmAfter": WARM_MS, "fall": FALL_MS,
+                                       "fallMultiple": FALL_MULTIPLE}}}))
         await self.start(range(SCHEDULERS), old)
         self._sending = asyncio.create_task(self.crowd.run())
 
@@ -398,7 +398,8 @@
     for at in times:
         ends = at + FALL_MS / 1e3
         inside = sum(at <= other < ends for other in times)
-        n = MULTIPLE * worker.slots / worker.work_s * FALL_MS / 1e3 * (worker.warmth(at) + worker.warmth(ends)) / 2
+        n = FALL_MULTIPLE * worker.slots / worker.work_s * FALL_MS / 1e3 * (
+            worker.warm_fraction(at) + worker.warm_fraction(ends)) / 2
         worst = max(worst, inside / (n + 2.0 * n ** 0.5 + 2.0))
     return worst
 
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -27,7 +27,7 @@
 from gaphub.occupancy.status import OccupancyStatus, occupancy_status
 from gaphub.occupancy.sums_messages import MESSAGE_BYTES_MAX, decode
 
-from .occupancy_network import at_size
+from .occupancy_network import measure_at_size
 
 REAL, SCHEDULERS, WORKERS = 2, 12, 2_000
 STARTS_PER_S, TASKS = 400.0, 24_000
@@ -180,7 +180,7 @@
 
 
 def test_ages_are_those_among_real_schedulers(played: Played) -> None:
-    among_real = at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
+    among_real = measure_at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
     ages = sorted(one.age(played.now, worker_number(w)) for one in played.real for w in range(WORKERS))
     assert ages[len(ages) // 2] == pytest.approx(among_real.age_p50_ms, rel=0.1)
     assert ages[len(ages) * 99 // 100] == pytest.approx(among_real.age_p99_ms, rel=0.15)
--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -17,7 +17,7 @@
 
 from . import fleet as processes
 from .processes import job
-from .test_cold_budget import MEAN_MS, MULTIPLE, SHARES, START, WARM_MS, Server
+from .test_cold_budget import COLD_FROM, FALL_MULTIPLE, MEAN_MS, SHARES, WARM_MS, Server
 
 SHARE = 0.15  # of a class's requests: must be served if a worker had room for at least half of them
 
@@ -146,7 +146,8 @@
         discovery = processes.Discovery()
         fleet = processes.Fleet(schedulers, discovery, {
             "limits": {"peerMessages": False},
-            "rules": {"startCapacity": START, "warmAfter": WARM_MS, "fall": 1000.0, "fallMultiple": MULTIPLE},
+            "rules": {"startCapacity": COLD_FROM, "warmAfter": WARM_MS, "fall": 1000.0,
+                      "fallMultiple": FALL_MULTIPLE},
             "report": {"fields": ["x0", "inflight", "queue"], "via": "inline"},
             "familyInfo": {"reportX0": "free slots"},
         }, lambda a, b: False, 5)
