--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -81,9 +81,9 @@
     def set_own(self, wire_id: int, count: int) -> None:
         """Nothing: the table holds it."""
 
-    def others(self, wire_id: int, member: int) -> int:
+    def total_except(self, wire_id: int, member: int) -> int:
         """The slots that all but one real scheduler have out at a worker."""
-        return super().others(wire_id, member) + self._shared.out.get(wire_id, 0)
+        return super().total_except(wire_id, member) + self._shared.out.get(wire_id, 0)
 
     def total(self, wire_id: int) -> int:
         """The slots that all have out at a worker."""
--- a/gaphub/occupancy/aggregator.py
+++ b/gaphub/occupancy/aggregator.py
@@ -175,7 +175,7 @@
                                                           if report.dead.includes(dead_required, all_dead)}
         return min((times.get(m, NEVER) for m in self._live), default=now)
 
-    def others(self, wire_id: int, member: int) -> int:
+    def total_except(self, wire_id: int, member: int) -> int:
         """The slots that all members but one have out at a worker."""
         if member == self.me:
             return self._totals.get(wire_id, 0)
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -149,7 +149,7 @@
         else:
             self._forget_worker(worker_id)
 
-    def record_change(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
+    def record_change(self, now: float, worker_id: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
         """Record a change of the own slots out at a worker; it is reported in the next round."""
         if worker_id not in self._identities:
             return ()
@@ -287,7 +287,7 @@
         if self._assignment.owner.get(wire_id) != self.me:
             return received
         as_of = self._own_sum_as_of(now if now < inf else self._reviewed_at, wire_id)
-        return received if received.as_of > as_of else Sum(self._aggregator.others(wire_id, self.me), as_of)
+        return received if received.as_of > as_of else Sum(self._aggregator.total_except(wire_id, self.me), as_of)
 
     def _own_sum_as_of(self, now: float, wire_id: int) -> float:
         return self._aggregator.as_of(now, wire_id, self._assignment.dead_above(wire_id), self._dead_set)
@@ -387,8 +387,8 @@
 
     def _sums_for(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
         """The sums for a peer, of those workers that are still aggregated here."""
-        owner, others = self._assignment.owner, self._aggregator.others
-        return {w: min(COUNT_MAX, others(w, member)) for w, _ in sums if owner.get(w) == self.me}
+        owner, total_except = self._assignment.owner, self._aggregator.total_except
+        return {w: min(COUNT_MAX, total_except(w, member)) for w, _ in sums if owner.get(w) == self.me}
 
     # Receiving
 
