--- a/gaphub/occupancy/aggregator.py
+++ b/gaphub/occupancy/aggregator.py
@@ -25,7 +25,7 @@
         self.counts: dict[int, int] = {}  # by id; no zeros
         self.applied = 0  # number of the last datagram that was applied; 0: a full report must come
         self.as_of = NEVER  # the counts include everything that the member had out then
-        self.dead = DeadSet.of(_NO_MEMBERS)  # the dead members as the sender of the report saw them
+        self.dead = DeadSet.of(_NO_MEMBERS)  # the members that the reporter considered dead
         self.unconfirmed: set[int] | None = None  # ids that an incoming full report has yet to name
         self.refused: set[int] = set()  # ids that it reported while they were not listed
         self.refused_overflow = False
@@ -45,7 +45,7 @@
         self._totals: dict[int, int] = {}  # sums over the other members, by id
         self._listed: set[int] = set()
         self._live = set(self._reports)
-        self._as_of_by_dead: dict[frozenset[int], dict[int, float]] = {}  # see ``as_of``; then by member
+        self._as_of_by_dead: dict[frozenset[int], dict[int, float]] = {}  # by ``dead_required``, then by member
         self._oldest_as_of: dict[frozenset[int], float] = {}
         self._awaiting: dict[int, set[int]] = {}  # by id: members whose full report is awaited
         self._own: dict[int, int] = {}
@@ -137,7 +137,7 @@
     def record_as_of(self, member: int, as_of: float, dead: DeadSet, all_dead: DeadSet) -> None:
         """Record that the counts of a member include everything that it had out at ``as_of``.
 
-        ``dead``: the dead members as it saw them; ``all_dead``: as this member sees them.
+        ``dead``: the members that it considered dead; ``all_dead``: those that this member considers dead.
         """
         report = self._reports[member]
         report.as_of = max(report.as_of, as_of)
--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self._names: dict[int, str] = {}  # by number
         self._ids: dict[int, int] = {}  # by number
-        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers by primary id
+        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers of the workers that share it
         self._numbers: dict[int, tuple[int, ...]] = {}  # by id
 
     def __contains__(self, number: int) -> bool:
--- a/gaphub/occupancy/ledger.py
+++ b/gaphub/occupancy/ledger.py
@@ -9,7 +9,7 @@
 from .messages import CAPACITY, DELTA, SNAPSHOT_REQUEST, Message, decode, wire_id
 
 NEVER_MS = -1e18  # before any time
-HEARTBEAT_TTL_MS = 3_500.0  # a peer that sent nothing for this long is taken for gone, and its counts are dropped
+HEARTBEAT_TTL_MS = 3_500.0  # a peer silent for this long is considered gone, and its counts are dropped
 REORDER_MS = 100.0  # a lower sequence number later than this is of a restarted peer, or has wrapped around
 SEQUENCE_NUMBERS = 256
 QUORUM_BASE = 3  # peers, if there are as many, that must be heard for the sums to be used,
@@ -29,7 +29,7 @@
         self.sequence: dict[int, int] = {}  # sequence number of each peer's last message
         self._others = others
         self._quorum = min(others, QUORUM_BASE + others // PEERS_PER_QUORUM_MEMBER)
-        self._checked_at = NEVER_MS  # when ``_complete`` was computed: it is read for each worker ranked
+        self._checked_at = NEVER_MS  # when ``_complete`` was computed; it is needed for each worker ranked
         self._complete = False
 
     def receive(self, now: float, sender: int, data: bytes) -> Message | None:
--- a/gaphub/occupancy/reports.py
+++ b/gaphub/occupancy/reports.py
@@ -41,7 +41,7 @@
         self._round_starts.append(self.number + 1)
 
     def unsent(self, limit: int) -> list[int]:
-        """Up to ``limit`` pending workers that were not sent in this round, those that wait longest first."""
+        """Up to ``limit`` workers whose pending counts this round has not sent, those pending longest first."""
         found: list[int] = []
         start = self._round_starts[-1]
         for wire_id, numbers in self._pending.items():
@@ -83,7 +83,7 @@
         return True
 
     def reset(self, wire_ids: Iterable[int]) -> None:
-        """Report everything anew: the workers with a count above 0 that this peer must be told of."""
+        """Report everything anew; ``wire_ids``: the workers with a count above 0 that the peer must be told of."""
         self._acknowledged = self.base = 0
         self.sent_ids.clear()
         self._pending = dict.fromkeys(wire_ids, ())
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -39,7 +39,7 @@
 )
 
 MIN_WAKEUP_INTERVAL_MS = 100.0  # shortest time between two wakeups
-REVIEWS_PER_ROUND = 4  # checks for silent members and of the age of sums
+REVIEWS_PER_ROUND = 4  # checks of silent members and of the age of sums
 QUORUM_BASE = 3  # members, if there are as many, that must be heard for the sums to be used,
 PEERS_PER_QUORUM_MEMBER = 8  # and one more per this many: in a large fleet some are always down
 FRESH_FRACTION_MIN = 0.9  # of the listed workers, whose sums must be within the age bound
@@ -150,7 +150,7 @@
             self._forget_worker(worker_id)
 
     def record_change(self, now: float, worker_id: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Record a change of the own slots out at a worker; it is reported in the next round."""
+        """Record a change of the own slots out at a worker; nothing is sent before the next round."""
         if worker_id not in self._identities:
             return ()
         if slots_out > 0.0:
@@ -476,7 +476,7 @@
         self._reviewed_at = now
         self._aggregator.invalidate_ages()
         self._set_round_sums(now, [w for w, _ in self._round_sums])
-        if stopped:  # suspended meanwhile, and so unable to tell which members were silent
+        if stopped:  # this process was suspended, so that it cannot tell who was silent
             for peer in self._peers.values():
                 peer.heard_at = max(peer.heard_at, now - self.plan.silent_ms / 2)
         silent_since = now - self.plan.silent_ms
@@ -489,7 +489,7 @@
                 self._aggregator.clear_member(member)
 
     def _on_member_dead(self, member: int) -> None:
-        """Mark a member as dead, and its workers' counts as due to the new targets.
+        """Mark a member as dead, and mark the counts of its workers in the reports to their new targets.
 
         These are the new owners, and dead members that would own the workers if they were alive.
         """
@@ -504,7 +504,7 @@
         self._update_dead_set()
 
     def _on_member_alive(self, now: float, member: int) -> None:
-        """Mark a member as alive: its workers return to it; the sums aggregated here until now are kept."""
+        """Mark a member as alive: its workers return to it; the sums known here of these are kept."""
         for worker in list(self._assignment.shards[self.me]):
             if member in self._assignment.dead_above(worker):
                 newest = self._newest_sum(worker, now)
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -16,10 +16,10 @@
 from .sharded import ShardedExchange
 from .sums_messages import VERSION as SUMS_VERSION
 
-LARGE_FROM_WORKERS = 2_000  # listed workers from which all to all costs more than a scheduler may spend
+LARGE_FROM_WORKERS = 2_000  # listed workers; from this number on, all to all costs more than a scheduler may spend
 SMALL_BELOW_WORKERS = 1_500  # lower, as hysteresis: a list near the threshold must not switch back and forth
 LARGE_FROM_PEERS = 8  # with fewer peers, all to all is affordable for any number of workers
-RECENT_ROUNDS = 2  # a peer heard in the sharded format this many rounds ago or less uses it
+RECENT_ROUNDS = 2  # a peer heard in the sharded format within this many rounds is taken to use it
 EPOCH_MS = 100.0  # resolution of epochs: no scheduler starts twice within this
 EPOCHS = 2**32 - 1
 
@@ -163,7 +163,7 @@
         return Received([*received.replies, *self._all_to_all.request_snapshot(sender)], received.capacities)
 
     def _on_sharded_peer(self, now: float, sender: int, sharded: ShardedExchange, capacities: Mapping[int, float],
-               random: Random) -> Received:
+                         random: Random) -> Received:
         """Note that a peer uses the sharded format; if it has restarted, send it the capacities, at random."""
         if self._legacy.pop(sender, None) is not None:
             self._upgraded[sender] = now + sharded.plan.age_bound_ms
--- a/gaphub/occupancy/sums_messages.py
+++ b/gaphub/occupancy/sums_messages.py
@@ -101,7 +101,7 @@
     age_ms: float  # of the oldest report that went into the sums; rounded up on the wire
     dead: DeadSet
     report: dict[int, int]  # the sender's own counts
-    sums: dict[int, int]  # of the counts of all members but the receiver
+    sums: dict[int, int]  # over all members but the receiver
 
 
 def entry_capacity(dead: DeadSet, wide: bool) -> int:
--- a/tests/occupancy_network.py
+++ b/tests/occupancy_network.py
@@ -46,7 +46,7 @@
         self.epochs = dict.fromkeys(self.members, 0)
         self.exchanges: dict[int, ShardedExchange] = {}
         self.wakeup_at: dict[int, float] = {}
-        self.stopped: set[int] = set()
+        self.suspended: set[int] = set()
         self.is_cut: Callable[[int, int], bool] = lambda a, b: False
         self.history: dict[tuple[int, int], list[tuple[float, int]]] = defaultdict(lambda: [(-1e18, 0)])
         self.heard_since: dict[tuple[int, int], float] = {}  # without a gap of SILENT_MS
@@ -70,7 +70,7 @@
     def kill(self, member: int) -> None:
         """End a member and everything that it has out."""
         del self.exchanges[member]
-        self.stopped.discard(member)
+        self.suspended.discard(member)
         self._socket_buffers.pop(member, None)
         for number in self.workers:
             self.set_count(member, number, 0)
@@ -95,7 +95,7 @@
 
     def make_changes(self, changes: int) -> None:
         """Make random changes of counts at random members and workers."""
-        running = [m for m in self.exchanges if m not in self.stopped]
+        running = [m for m in self.exchanges if m not in self.suspended]
         for _ in range(changes):
             if not running:
                 return
@@ -111,7 +111,7 @@
             self._deliver()
             self.make_changes(changes)
             for member, exchange in list(self.exchanges.items()):
-                if member not in self.stopped and self.wakeup_at[member] <= self.now:
+                if member not in self.suspended and self.wakeup_at[member] <= self.now:
                     outgoing = exchange.on_wakeup(self.now, self.wakeup_at[member], self.rng.random)
                     self.wakeup_at[member] = exchange.take_wakeup() or self.now
                     for peer, data in outgoing:
@@ -120,7 +120,7 @@
 
     def resume(self, member: int) -> None:
         """Resume a suspended member, with the datagrams buffered in its socket."""
-        self.stopped.discard(member)
+        self.suspended.discard(member)
         for sender, data in self._socket_buffers.pop(member, []):
             self._receive(sender, member, data)
 
@@ -134,7 +134,7 @@
     def _deliver(self) -> None:
         while self._in_flight and self._in_flight[0][0] <= self.now:
             _, _, sender, peer, data = heappop(self._in_flight)
-            if peer in self.stopped:
+            if peer in self.suspended:
                 self._socket_buffers[peer] = [*self._socket_buffers[peer], (sender, data)][-200:]
             elif peer in self.exchanges:
                 self._receive(sender, peer, data)
@@ -158,7 +158,7 @@
         """The sums below the counts that have stood for longer than their age at members heard throughout."""
         found = []
         for member, exchange in self.exchanges.items():
-            if member in self.stopped:
+            if member in self.suspended:
                 continue
             for worker in self.workers:
                 age = exchange.age(self.now, worker)
@@ -209,9 +209,9 @@
 
 def measure_at_size(members: int, seconds: int, workers: int = 11_000, changes_per_s: int = 5_000,
                     running: int = 310_000, sampled: int = 8, loss: float = 0.0, seed: int = 1) -> Measured:
-    """Measure a fault-free run of ``seconds`` after all have started; the figures are of the last ten.
+    """Measure a run of ``seconds`` in which no member fails after all have started; figures are of the last ten.
 
-    The members share one assignment and one table of ids, which are equal in the absence of faults, so that the
+    The members share one assignment and one table of ids, which are equal while no member fails, so that the
     workers are listed only once instead of once per member.
     """
     rng = random.Random(seed)
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -132,9 +132,10 @@
     for n, begin in enumerate(attempts):
         inside = list(itertools.takewhile(lambda a: a.first < begin.first + fall_s, attempts[n:]))  # noqa: B023
         work = sum(WORK_MS[a.cls] / MEAN_MS for a in inside)
-        can = server.capacity * fall_ms * (
+        possible_work = server.capacity * fall_ms * (
             server.warm_fraction(begin.first) + server.warm_fraction(begin.first + fall_s)) / 2
-        highest = max(highest, Window(inside, work, FALL_MULTIPLE * can), key=lambda window: window.share)
+        highest = max(highest, Window(inside, work, FALL_MULTIPLE * possible_work),
+                      key=lambda window: window.share)
     return highest
 
 
--- a/tests/test_occupancy.py
+++ b/tests/test_occupancy.py
@@ -181,10 +181,10 @@
 
 @given(st.integers(0, 255), st.integers(1, 100).flatmap(lambda n: st.permutations(range(n))))
 def test_of_messages_that_overtake_each_other_the_latest_holds(first: int, order: list[int]) -> None:
-    ledger = PeerCounts(1)
+    peer_counts = PeerCounts(1)
     for at, nth in enumerate(order):
-        ledger.receive(at * REORDER_MS / 101, 0, encode(Kind.DELTA, first + nth, [(7, 1 + nth)]))
-    assert ledger.peer_slots(7) == len(order)
+        peer_counts.receive(at * REORDER_MS / 101, 0, encode(Kind.DELTA, first + nth, [(7, 1 + nth)]))
+    assert peer_counts.peer_slots(7) == len(order)
 
 
 @pytest.mark.parametrize("others", [1, 39])
@@ -223,11 +223,11 @@
 @given(st.integers(0, 255), st.integers(-300, 300), st.floats(0.0, 10.0 * HEARTBEAT_TTL_MS))
 def test_a_peer_that_is_heard_again_counts_whatever_its_sequence_number(first: int, step: int,
                                                                         pause_ms: float) -> None:
-    ledger = PeerCounts(1)
-    ledger.receive(0.0, 0, encode(Kind.SNAPSHOT, first, [(7, 1), (8, 1)]))
+    peer_counts = PeerCounts(1)
+    peer_counts.receive(0.0, 0, encode(Kind.SNAPSHOT, first, [(7, 1), (8, 1)]))
     silent = pause_ms > HEARTBEAT_TTL_MS
-    assert ledger.complete(pause_ms) is not silent
-    ledger.receive(pause_ms, 0, encode(Kind.DELTA, first + step, [(7, 2)]))
+    assert peer_counts.complete(pause_ms) is not silent
+    peer_counts.receive(pause_ms, 0, encode(Kind.DELTA, first + step, [(7, 2)]))
     overtaken = pause_ms < REORDER_MS and 0 < -step % 256 < 128
-    assert ledger.complete(pause_ms)
-    assert (ledger.peer_slots(7), ledger.peer_slots(8)) == (1 if overtaken else 2, 0 if silent else 1)
+    assert peer_counts.complete(pause_ms)
+    assert (peer_counts.peer_slots(7), peer_counts.peer_slots(8)) == (1 if overtaken else 2, 0 if silent else 1)
--- a/tests/test_occupancy_at_size.py
+++ b/tests/test_occupancy_at_size.py
@@ -104,7 +104,7 @@
     code = ("from gaphub.occupancy.assignment import Assignment\na = Assignment(range(50))\n"
             "print([a.add(w * 7919) for w in range(500)])")
     outputs = {subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True, timeout=60,
-                           env={**os.environ, "PYTHONHASHSEED": seed}).stdout for seed in ("1", "2")}
+                              env={**os.environ, "PYTHONHASHSEED": seed}).stdout for seed in ("1", "2")}
     here = Assignment(range(50))
     assert outputs == {f"{[here.add(w * 7919) for w in range(500)]}\n"}
 
@@ -180,8 +180,8 @@
 @given(st.binary(max_size=300), st.one_of(st.none(), MESSAGES), st.integers(0, 300))
 def test_garbage_is_a_message_or_an_error(data: bytes, message: Message | None, place: int) -> None:
     if message is not None:
-        whole = encode(message)
-        data = whole[:place] + data[:3] + whole[place + 1:]
+        encoded = encode(message)
+        data = encoded[:place] + data[:3] + encoded[place + 1:]
     for garbled in (data, bytes([VERSION]) + data):
         try:
             found = decode(garbled)
@@ -318,15 +318,15 @@
         exchange.on_message(network.now, 1, data, {}, random.random)
     assert (_state(exchange, workers), exchange.heard_members()) == before
     assert exchange.dropped[DropReason.UNREADABLE] == 3
-    ledger = PeerCounts(2)
-    ledger.receive(0.0, 1, old)
-    totals, heard = dict(ledger.total), dict(ledger.heard_at)
+    peer_counts = PeerCounts(2)
+    peer_counts.receive(0.0, 1, old)
+    totals, heard = dict(peer_counts.total), dict(peer_counts.heard_at)
     network.now += 2_000
     outgoing = exchange.on_wakeup(network.now, network.now, random.random)
     assert outgoing
     for _, data in outgoing:
-        assert ledger.receive(1.0, 2, data) is None
-    assert (ledger.total, ledger.heard_at) == (totals, heard)
+        assert peer_counts.receive(1.0, 2, data) is None
+    assert (peer_counts.total, peer_counts.heard_at) == (totals, heard)
 
 
 def test_a_list_that_names_fewer_workers_leaves_those_with_slots_out_reported() -> None:
@@ -401,10 +401,10 @@
 
 @given(st.floats(300.0, 50_000.0), st.lists(st.tuples(st.floats(0.0, 200.0), st.integers(100, 256)),
                                             min_size=20, max_size=200))
-def test_the_bucket_holds_over_any_time(rate: float, wishes: list[tuple[float, int]]) -> None:
+def test_the_bucket_holds_over_any_time(rate: float, requests: list[tuple[float, int]]) -> None:
     bucket, now = TokenBucket(0.0, rate), 0.0
     sent = list[tuple[float, int]]()
-    for wait, size in wishes:
+    for wait, size in requests:
         now += wait
         if bucket.allows(now):
             bucket.spend(size)
@@ -439,18 +439,18 @@
 
 
 @given(st.integers(1, 60), st.integers(4, 40), st.randoms())
-def test_each_sum_is_told_in_its_turn_whatever_the_others_do(shard: int, most: int, rnd: random.Random) -> None:
+def test_each_sum_is_told_in_its_turn_whatever_the_others_do(shard: int, limit: int, rnd: random.Random) -> None:
     order, totals = SumOrder(), dict.fromkeys(range(shard), 4)
     sent_in_round = dict[int, int]()
-    first = -(-shard // most)
-    turn = -(-shard // max(1, most - int(most * LARGE_FRACTION)))
-    for number in range(first + 3 * turn + 2):
-        chosen = order.choose(most, totals, totals.__getitem__)
-        assert len(chosen) == len(set(chosen)) == min(most, shard)
+    first = -(-shard // limit)
+    cycle = -(-shard // max(1, limit - int(limit * LARGE_FRACTION)))
+    for number in range(first + 3 * cycle + 2):
+        chosen = order.choose(limit, totals, totals.__getitem__)
+        assert len(chosen) == len(set(chosen)) == min(limit, shard)
         for worker in chosen:
             sent_in_round[worker] = number
         if number >= first:
-            assert all(number - sent_in_round[w] <= turn for w in totals)
+            assert all(number - sent_in_round[w] <= cycle for w in totals)
         for worker in rnd.sample(sorted(totals), shard // 2):
             totals[worker] = rnd.randrange(100)
 
@@ -503,7 +503,7 @@
     elif what == "start" and member not in network.exchanges:
         network.start(member)
     elif what == "stop" and member in network.exchanges:
-        network.stopped.add(member)
+        network.suspended.add(member)
     elif what == "wake" and member in network.exchanges:
         network.resume(member)
     elif what == "part":
@@ -555,7 +555,7 @@
     network.run(15_000, 2)
     gone = network.rng.choice(network.members)
     if stops:
-        network.stopped.add(gone)
+        network.suspended.add(gone)
     else:
         network.kill(gone)
     for _ in range(60):
--- a/tests/test_occupancy_processes.py
+++ b/tests/test_occupancy_processes.py
@@ -42,8 +42,8 @@
 SILENT_S = 7.5  # until a silent peer is dead to all: five rounds of a second, and the next check
 NEVER_LARGE = 10**9
 LAUNCHER = ("import sys; from gaphub.occupancy import sized; "
-           "sized.LARGE_FROM_WORKERS = sized.SMALL_BELOW_WORKERS = {}; "
-           "from gaphub.__main__ import main; sys.exit(main())")
+            "sized.LARGE_FROM_WORKERS = sized.SMALL_BELOW_WORKERS = {}; "
+            "from gaphub.__main__ import main; sys.exit(main())")
 CLASSES = ("poloha", "udalost", "vyuctovani")  # jobs of the last two must not run twice
 COLD_FROM, WARM_MS, FALL_MS, FALL_MULTIPLE = 0.3, 8_000.0, 1_000.0, 3.0
 
@@ -99,8 +99,8 @@
             self.sent_kinds["capacities" if counts.kind is Kind.CAPACITY else "counts"] += 1
         for _ in range(2 if self.rng.random() < self.duplication else 1):
             if not self.is_cut(sender, receiver) and self.rng.random() >= self.loss:
-                delay_s_drawn = self.rng.random() * self.delay_s
-                asyncio.get_running_loop().call_later(delay_s_drawn, self._deliver, sender, receiver, data)
+                drawn_delay_s = self.rng.random() * self.delay_s
+                asyncio.get_running_loop().call_later(drawn_delay_s, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
         transport = self._relays[receiver, sender].transport
--- a/tests/test_occupancy_sized.py
+++ b/tests/test_occupancy_sized.py
@@ -485,7 +485,7 @@
     peer = sharded._peers[5]
     unlisted = {0xFFFF_FF01: 3, 0xFFFF_FF02: 1}
     fleet.deliver(0, 5, encode_sums(Message(peer.epoch or 0, peer.number + 1, peer.number, False, sharded.epoch,
-                                        peer.reports.number, 0.0, DeadSet.of(set()), unlisted, unlisted)))
+                                            peer.reports.number, 0.0, DeadSet.of(set()), unlisted, unlisted)))
     assert sharded.refused_entries() == 2
     assert sharded.dropped[DropReason.UNLISTED] == 2
     fleet.run(8_000.0)
@@ -499,13 +499,13 @@
     assert exchange.counters() == {"sharded": 0, "legacy": 0}
     fleet.send_lists(LARGE)
     fleet.run(8_000.0)
-    figures = exchange.counters()
+    first_counters = exchange.counters()
     sent = [len(data) for sender, _, data in fleet.sent if sender == 0 and data[0] == VERSION]
-    assert figures == {"sharded": 1, "legacy": 1, "sent": len(sent), "sent_bytes": sum(sent)}
+    assert first_counters == {"sharded": 1, "legacy": 1, "sent": len(sent), "sent_bytes": sum(sent)}
     fleet.deliver(0, 1, bytes([VERSION]))
-    assert exchange.counters() == {**figures, "dropped.unreadable": 1}
+    assert exchange.counters() == {**first_counters, "dropped.unreadable": 1}
     fleet.send_lists(SMALL - 1)
-    assert exchange.counters() == {**figures, "dropped.unreadable": 1, "sharded": 0, "legacy": 0}
+    assert exchange.counters() == {**first_counters, "dropped.unreadable": 1, "sharded": 0, "legacy": 0}
     counters = Counters()
     counters.add("calls.sent")
     counters.sources["occupancy"] = exchange.counters
