--- a/gaphub/occupancy/all_to_all.py
+++ b/gaphub/occupancy/all_to_all.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from .exchange import ALL_PEERS, CAPACITY_REPLIES, NO_MESSAGES, NOTHING_RECEIVED, Outgoing, Random, Received
-from .ledger import PeerCounts
 from .messages import CAPACITY, DELTA, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode
 from .pacing import HEARTBEAT_INTERVAL_MS, Pacing
+from .peer_counts import PeerCounts
 
 TICK_MIN = 0.8  # of HEARTBEAT_INTERVAL_MS: shortest time between two ticks
 TICK_JITTER = 0.4  # of HEARTBEAT_INTERVAL_MS: random part added, so that the ticks of peers do not synchronize
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -11,8 +11,8 @@
 
 from .all_to_all import AllToAll
 from .exchange import ALL_PEERS, CAPACITY_REPLIES, NO_MESSAGES, NOTHING_RECEIVED, Outgoing, Random, Received
-from .ledger import HEARTBEAT_TTL_MS
 from .messages import Kind, decode
+from .peer_counts import HEARTBEAT_TTL_MS
 from .sharded import ShardedExchange
 from .sums_messages import VERSION as SUMS_VERSION
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -14,9 +14,9 @@
 from gaphub.cli import gaphub
 from gaphub.interface import ListedWorker, ListKind, Request, Settings, Status
 from gaphub.logic import Balancer
-from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, PeerCounts
 from gaphub.occupancy.messages import MESSAGE_BYTES_MAX, Kind, decode, encode, wire_id
 from gaphub.occupancy.pacing import HEARTBEAT_INTERVAL_MS, Pacing
+from gaphub.occupancy.peer_counts import HEARTBEAT_TTL_MS, PeerCounts
 
 from .fake import SAFE, Recorder, entry
 
--- a/tests/test_occupancy.py
+++ b/tests/test_occupancy.py
@@ -13,9 +13,9 @@
 from gaphub.occupancy.all_to_all import AllToAll
 from gaphub.occupancy.choice import MAX_PRICE, exchange_for
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange, OccupancyExchange, Outgoing
-from gaphub.occupancy.ledger import HEARTBEAT_TTL_MS, REORDER_MS, PeerCounts
 from gaphub.occupancy.messages import DELTA_BYTES, ENTRIES_MAX, MESSAGE_BYTES_MAX, Kind, decode, encode
 from gaphub.occupancy.pacing import FLUSH_DELAY_MS, HEARTBEAT_INTERVAL_MS, PEERS_PER_STEP
+from gaphub.occupancy.peer_counts import HEARTBEAT_TTL_MS, REORDER_MS, PeerCounts
 from gaphub.occupancy.sized import LARGE_FROM_PEERS, SizedExchange
 
 WORKERS = range(1, 9)
--- a/tests/test_occupancy_at_size.py
+++ b/tests/test_occupancy_at_size.py
@@ -17,9 +17,9 @@
 from gaphub.occupancy.assignment import Assignment
 from gaphub.occupancy.budget import LARGE_FRACTION, Limits, SumOrder, TokenBucket, make_plan
 from gaphub.occupancy.identity import Identities, fallback_id, primary_id
-from gaphub.occupancy.ledger import PeerCounts
 from gaphub.occupancy.messages import Kind
 from gaphub.occupancy.messages import encode as encode_counts
+from gaphub.occupancy.peer_counts import PeerCounts
 from gaphub.occupancy.reports import PeerReports
 from gaphub.occupancy.sharded import DropReason, Received, ShardedExchange
 from gaphub.occupancy.sums_messages import (
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -35,8 +35,8 @@
 from gaphub.lab.scale.sampling import Sample, measured
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan, read_scenario
 from gaphub.net.peers import HEARTBEAT_TYPE
-from gaphub.occupancy.ledger import PeerCounts
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
+from gaphub.occupancy.peer_counts import PeerCounts
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = ROOT / "deploy" / "scale" / "short.toml"
