--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -152,7 +152,7 @@
             return received
         recent_ms = RECENT_ROUNDS * sharded.plan.round_ms
         if message.kind is not Kind.SNAPSHOT_REQUEST and now - sharded.heard_at(sender) <= recent_ms:
-            if sender not in self._legacy:  # it took this scheduler for legacy; the sums will hold its counts
+            if sender not in self._legacy:  # took this scheduler for legacy; the sums hold its counts or soon will
                 self._upgraded[sender] = now + sharded.plan.age_bound_ms
                 return received
         is_new = sender not in self._legacy
--- a/gaphub/occupancy/sums.py
+++ b/gaphub/occupancy/sums.py
@@ -29,7 +29,7 @@
     __slots__ = ("_sums",)
 
     def __init__(self) -> None:
-        self._sums: dict[int, tuple[int, float]] = {}  # the fields of ``Sum``; thousands come per second
+        self._sums: dict[int, tuple[int, float]] = {}  # fields of ``Sum``, plain as thousands come per second
 
     def __len__(self) -> int:
         return len(self._sums)
