--- a/gaphub/occupancy/all_to_all.py
+++ b/gaphub/occupancy/all_to_all.py
@@ -1,143 +1,145 @@
-"""Owns the way all to all: each scheduler tells each other its counts.
+"""The all-to-all exchange: every scheduler sends its counts to every other one.
 
-Pure: no I/O, no clock, no randomness.  Its cost grows with the starts a second of the fleet, at every scheduler.
+No I/O, no clock, no randomness.  Its cost at every scheduler grows with the fleet's rate of job starts.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from .exchange import ALL_PEERS, CAPACITY_ANSWERS, NO_NEWS, NOTHING, Outgoing, Random, Received
-from .ledger import Ledger
+from .exchange import ALL_PEERS, CAPACITY_REPLIES, NO_MESSAGES, NOTHING_RECEIVED, Outgoing, Random, Received
 from .messages import CAPACITY, DELTA, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode
-from .pacing import HEARTBEAT_MS, Pacing
+from .pacing import HEARTBEAT_INTERVAL_MS, Pacing
+from .peer_counts import PeerCounts
 
-TURN_LEAST = 0.8  # of HEARTBEAT_MS; from one turn to the next at the least
-TURN_SPREAD = 0.4  # of HEARTBEAT_MS; and so much more at the most, by chance, so that peers don't go in step
-WAKEUP_EARLY_MS = 0.01  # ms; a timer may come due so much early, by rounding
+TICK_MIN = 0.8  # of HEARTBEAT_INTERVAL_MS: shortest time between two ticks
+TICK_JITTER = 0.4  # of HEARTBEAT_INTERVAL_MS: random part added, so that the ticks of peers do not synchronize
+TIMER_TOLERANCE_MS = 0.01  # by rounding, a timer may fire this much early
 
 
 class AllToAll:
-    """Each scheduler tells each other its counts: changes as they come, and a snapshot once in a while."""
+    """Sends each change of a count to all peers, and snapshots of all counts at intervals."""
 
-    __slots__ = ("out", "complete", "_others", "_ledger", "_pacing", "_own", "_turn_at", "_wakeup")
+    __slots__ = ("peer_slots", "complete", "_others", "_peer_counts", "_pacing", "_slots_out", "_next_tick_at",
+                 "_wakeup")
 
     def __init__(self, now: float, others: int) -> None:
-        """``others``: how many other schedulers there are.  The first wakeup is wanted at once."""
+        """``others``: the number of other schedulers.  The first wakeup is due at once."""
         self._others = others
-        self._ledger = Ledger(others)
+        self._peer_counts = PeerCounts(others)
         self._pacing = Pacing(others)
-        self._own: dict[int, float] = {}  # this scheduler's slots out at each listed worker
-        self._turn_at = now
-        self._wakeup: float | None = now  # wanted, and not yet handed out
-        # Asked for each worker that is ranked: without a call in between.
-        self.out = self._ledger.out
-        self.complete = self._ledger.complete
+        self._slots_out: dict[int, float] = {}  # this scheduler's slots out at each listed worker
+        self._next_tick_at = now
+        self._wakeup: float | None = now  # not yet returned by ``take_wakeup``
+        # Read for each worker that is ranked, hence bound without a call in between.
+        self.peer_slots = self._peer_counts.peer_slots
+        self.complete = self._peer_counts.complete
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list; of a worker that it does not name nothing is told but that nothing is out there."""
-        self._own = dict(slots_out)
+        """Take a worker list; a worker that is not listed is only ever reported with a count of 0."""
+        self._slots_out = dict(slots_out)
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes."""
+        """Take the changes of the worker list."""
         for worker in gone:
-            self._own.pop(worker, None)
-        self._own.update(slots_out)
+            self._slots_out.pop(worker, None)
+        self._slots_out.update(slots_out)
 
-    def changed(self, now: float, worker: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
-        """Tell a send at once, and with it what is held back; hold an end back, among many peers."""
-        if worker in self._own:
-            self._own[worker] = slots_out
+    def record_change(self, now: float, worker: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
+        """Send an increased count at once, with those held back; among many peers, hold a decreased one back."""
+        if worker in self._slots_out:
+            self._slots_out[worker] = slots_out
         pacing = self._pacing
-        held_back = pacing.flush_at
-        if pacing.changed(now, worker, more):
-            return self._tell_pending(now)
-        if pacing.flush_at != held_back:
+        previous_flush_at = pacing.flush_at
+        if pacing.record_change(now, worker, increased):
+            return self._broadcast_pending(now)
+        if pacing.flush_at != previous_flush_at:
             self._wakeup = pacing.flush_at
-        return NOTHING
+        return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Tell all peers, or each would have to find out by itself."""
+        """Send them to all peers, each of which would else have to find out by itself."""
         return (self.capacity_message(ALL_PEERS, capacities),)
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Random) -> Received:
-        """Note a peer's counts; answer one that has just started with a snapshot, and by chance the capacities."""
-        message = self._ledger.take(now, sender, data)
+        """Apply a peer's counts; answer a request with a snapshot and, at random, the known capacities."""
+        message = self._peer_counts.receive(now, sender, data)
         if message is None:
-            return NO_NEWS
+            return NOTHING_RECEIVED
         if message.kind is CAPACITY:
             return Received(capacities=message.entries)
         if message.kind is not SNAPSHOT_REQUEST:
-            return NO_NEWS
-        replies = [Outgoing(sender, data) for data in self._pacing.answer(SNAPSHOT, self._snapshot())]
-        if random() * self._others < CAPACITY_ANSWERS:
+            return NOTHING_RECEIVED
+        replies = [Outgoing(sender, data) for data in self._pacing.encode_messages(SNAPSHOT, self._snapshot())]
+        if random() * self._others < CAPACITY_REPLIES:
             replies.append(self.capacity_message(sender, capacities))
         return Received(replies)
 
     def take_wakeup(self) -> float | None:
-        """The next turn, or the moment at which ends that are held back must go."""
+        """Return the time of the next tick or flush, if it was not returned before."""
         wakeup, self._wakeup = self._wakeup, None
         return wakeup
 
     def on_wakeup(self, now: float, due: float, random: Random) -> Sequence[Outgoing]:
-        """Take a turn, or tell what is held back if it still is."""
-        if due == self._turn_at:
-            return self._turn(now, random)
+        """Run a tick, or send the counts that are still held back."""
+        if due == self._next_tick_at:
+            return self._tick(now, random)
         flush_at = self._pacing.flush_at
-        if flush_at and now >= flush_at - WAKEUP_EARLY_MS:
-            return self._tell_pending(now)
-        return NOTHING
+        if flush_at and now >= flush_at - TIMER_TOLERANCE_MS:
+            return self._broadcast_pending(now)
+        return NO_MESSAGES
 
-    def _turn(self, now: float, random: Random) -> Sequence[Outgoing]:
-        kind = self._pacing.next_turn(now)
-        told: Sequence[Outgoing] = NOTHING
+    def _tick(self, now: float, random: Random) -> Sequence[Outgoing]:
+        kind = self._pacing.next_tick(now)
+        messages: Sequence[Outgoing] = NO_MESSAGES
         if kind is DELTA:
-            told = self._tell_pending(now)
+            messages = self._broadcast_pending(now)
         elif kind is not None:
-            told = self._tell(now, kind, self._snapshot())
-        self._turn_at = self._wakeup = now + HEARTBEAT_MS * (TURN_LEAST + TURN_SPREAD * random())
-        return told
+            messages = self._broadcast(now, kind, self._snapshot())
+        self._next_tick_at = self._wakeup = now + HEARTBEAT_INTERVAL_MS * (TICK_MIN + TICK_JITTER * random())
+        return messages
 
-    def _tell_pending(self, now: float) -> Sequence[Outgoing]:
-        own = self._own
-        return self._tell(now, DELTA, [(worker, own.get(worker, 0.0)) for worker in self._pacing.pending])
+    def _broadcast_pending(self, now: float) -> Sequence[Outgoing]:
+        slots_out = self._slots_out
+        return self._broadcast(now, DELTA,
+                               [(worker, slots_out.get(worker, 0.0)) for worker in self._pacing.pending])
 
-    def _tell(self, now: float, kind: Kind, counts: Sequence[tuple[int, float]]) -> Sequence[Outgoing]:
-        return [Outgoing(ALL_PEERS, data) for data in self._pacing.messages(now, kind, counts)]
+    def _broadcast(self, now: float, kind: Kind, counts: Sequence[tuple[int, float]]) -> Sequence[Outgoing]:
+        return [Outgoing(ALL_PEERS, data) for data in self._pacing.encode_broadcast(now, kind, counts)]
 
     def _snapshot(self) -> list[tuple[int, float]]:
-        return [(worker, slots) for worker, slots in self._own.items() if slots > 0]
+        return [(worker, slots) for worker, slots in self._slots_out.items() if slots > 0]
 
-    def figures(self) -> Mapping[str, int]:
-        """None: what the peers are told is in the counts of the socket."""
+    def counters(self) -> Mapping[str, int]:
+        """There are none: messages sent and received are counted at the socket."""
         return {}
 
     @property
-    def own(self) -> Mapping[int, float]:
+    def slots_out(self) -> Mapping[int, float]:
         """The slots that this scheduler has out at each listed worker."""
-        return self._own
+        return self._slots_out
 
     @property
     def heard_at(self) -> Mapping[int, float]:
         """When each peer was last heard."""
-        return self._ledger.heard_at
+        return self._peer_counts.heard_at
 
     @property
-    def heard_part(self) -> float:
-        """The part of all schedulers that is heard, this one too."""
-        return self._ledger.heard_part
+    def heard_share(self) -> float:
+        """The share of all schedulers that is heard, this one included."""
+        return self._peer_counts.heard_share
 
-    def introduce(self, peer: int) -> Sequence[Outgoing]:
-        """Tell one peer this scheduler's counts, and ask it for its own."""
-        return [Outgoing(peer, data) for data in self._pacing.answer(SNAPSHOT_REQUEST, self._snapshot())]
+    def request_snapshot(self, peer: int) -> Sequence[Outgoing]:
+        """Send one peer this scheduler's counts, and request its own."""
+        return [Outgoing(peer, data) for data in self._pacing.encode_messages(SNAPSHOT_REQUEST, self._snapshot())]
 
-    def forget(self, peer: int) -> None:
-        """Drop what a peer has told: it has nothing out, or tells it in another way."""
-        self._ledger.forget(peer)
+    def remove_peer(self, peer: int) -> None:
+        """Drop the counts of a peer, which has nothing out or reports it by the sharded exchange."""
+        self._peer_counts.remove_peer(peer)
 
     @staticmethod
     def capacity_message(peer: int, capacities: Mapping[int, float]) -> Outgoing:
-        """The slots of each kind of worker that are known here, for one peer or all."""
+        """A message that tells one peer or all the slots of each kind known here."""
         return Outgoing(peer, encode(CAPACITY, 0, list(capacities.items())))
