--- a/gaphub/cluster/election.py
+++ b/gaphub/cluster/election.py
@@ -23,7 +23,7 @@
 from enum import IntEnum
 from typing import Any
 
-from .types import MINUTE_MS, Kind, Member, Memory, Message, Move, Rules
+from .types import MINUTE_MS, Kind, LeaseChange, Member, Memory, Message, Rules
 
 TERM_JUMP_MOST = 1_000_000  # a term further ahead than this is not believed, whoever says it
 ROUNDS_KEPT = 8  # renewals that may still be answered
@@ -70,7 +70,7 @@
         self.majority = len(self.voters) // 2 + 1
         self.seed = seed
         self.out: list[tuple[int, Message]] = []
-        self.moves: list[Move] = []
+        self.moves: list[LeaseChange] = []
         self.ready = False
         self.term = memory.term if memory else 0
         self.voted_for = memory.voted_for if memory else 0
@@ -170,7 +170,7 @@
         elif not ready and self.role is not Role.FOLLOWER:
             self._abandon(now)
 
-    def hand_over(self, now: float, why: str = "handed over", to: int = 0) -> int:
+    def hand_over(self, now: float, reason: str = "handed over", to: int = 0) -> int:
         """Give the lease up at once and name a successor, the ready member of highest priority.
 
         The lease has ended before any message says so.  Returns the successor's id; 0 if there is none.
@@ -179,7 +179,7 @@
             return 0
         to = to or self.successor(now)
         term = self.term
-        self._lose(now, why)
+        self._lose(now, reason)
         self.released = term
         for i in self.others:
             self._say(i, Kind.TRANSFER if i == to else Kind.RELEASE, term)
@@ -430,7 +430,7 @@
         self.lease_until = until
         self.held_since = now
         self.rounds = {}
-        self.moves.append(Move(True, self.term, "elected"))
+        self.moves.append(LeaseChange(True, self.term, "elected"))
         self._renew(now)
 
     def _renew(self, now: float) -> None:
@@ -442,8 +442,8 @@
         self.renew_at = now + self.rules.renew_ms
         self._all(Kind.RENEW, self.term, self.round)
 
-    def _lose(self, now: float, why: str) -> None:
-        self.moves.append(Move(False, self.term, why))
+    def _lose(self, now: float, reason: str) -> None:
+        self.moves.append(LeaseChange(False, self.term, reason))
         self.lease_until = NEVER
         self.rounds = {}
         self.holder = 0
--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -62,10 +62,10 @@
 class EarlyRelease(Election):
     """Seeded fault: a holder that hands over says so before its lease has ended."""
 
-    def hand_over(self, now: float, why: str = "", to: int = 0) -> int:
+    def hand_over(self, now: float, reason: str = "", to: int = 0) -> int:
         """Tell the others, and hold on."""
         role, until, term, rounds = self.role, self.lease_until, self.term, self.rounds
-        to = super().hand_over(now, why, to)
+        to = super().hand_over(now, reason, to)
         if role is Role.HOLDER:
             self.role, self.lease_until, self.term, self.rounds = role, until, term, rounds
         return to
--- a/gaphub/cluster/node.py
+++ b/gaphub/cluster/node.py
@@ -21,7 +21,7 @@
 from .envelope import SIZE, Link
 from .keyring import KeyRing, KeyRingError, read
 from .memory import MemoryFile
-from .types import Member, Message, Move, Rules
+from .types import LeaseChange, Member, Message, Rules
 
 MAILBOX = 256  # datagrams that wait; more are dropped, as the network may drop any
 IDLE_S = 1.0
@@ -60,12 +60,12 @@
 class Node:
     """One member.  ``run`` is its actor; ``close`` gives the socket back."""
 
-    def __init__(self, front: ClusterConfig, counters: Counters, on_move: Callable[[Move], None],
+    def __init__(self, front: ClusterConfig, counters: Counters, on_lease_change: Callable[[LeaseChange], None],
                  clock: Callable[[], float] = steady_ms) -> None:
         self.front = front
         self.counters = counters
         self.clock = clock
-        self.on_move = on_move
+        self.on_lease_change = on_lease_change
         self.keys: KeyRing = read(front.keys)
         self.memory = MemoryFile(front.state)
         remembered = self.memory.read()
@@ -211,9 +211,9 @@
         moves, machine.moves = machine.moves, []
         for move in moves:
             self.counters.add("cluster.gained" if move.gained else "cluster.lost")
-            self.recent = [*self.recent[-49:], {"gained": move.gained, "term": move.term, "why": move.why,
+            self.recent = [*self.recent[-49:], {"gained": move.gained, "term": move.term, "why": move.reason,
                                                 "unix_ms": int(time.time() * 1000)}]
-            self.on_move(move)
+            self.on_lease_change(move)
         out, machine.out = machine.out, []
         memory = machine.memory
         if memory != self._saved:
--- a/gaphub/cluster/types.py
+++ b/gaphub/cluster/types.py
@@ -94,9 +94,9 @@
 MINUTE_MS = 60_000.0
 
 
-class Move(NamedTuple):
+class LeaseChange(NamedTuple):
     """A lease began or ended at this member; ``why`` is one word for logs."""
 
     gained: bool
     term: int
-    why: str
+    reason: str
--- a/gaphub/service.py
+++ b/gaphub/service.py
@@ -12,7 +12,7 @@
 
 from .announce.announcer import BgpAnnouncer
 from .cluster.node import Node
-from .cluster.types import Move
+from .cluster.types import LeaseChange
 from .config import Config
 from .core import Core
 from .metrics import Counters
@@ -51,8 +51,8 @@
         if self.announcer is not None:
             await self.announcer.open()
 
-    def _on_move(self, move: Move) -> None:
-        self.counters.log("lease.gained" if move.gained else "lease.lost", f"term={move.term} {move.why}")
+    def _on_move(self, move: LeaseChange) -> None:
+        self.counters.log("lease.gained" if move.gained else "lease.lost", f"term={move.term} {move.reason}")
         if move.gained:
             self.on_lease_gained()
             if self.announcer is not None:
@@ -62,7 +62,7 @@
         self._tasks.start(self.core.post(self.core.fence_lost))
         if self.announcer is None:
             return
-        if move.why in LINGER_REASONS:
+        if move.reason in LINGER_REASONS:
             # Keep the route until the successor's has arrived: a router without any route would drop clients'
             # packets.  Requests that arrive here meanwhile are refused at once.
             self.announcer.set(None, linger=True)
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -18,7 +18,7 @@
 from gaphub.cli import gaphub
 from gaphub.cluster import keyring
 from gaphub.cluster.node import Node, steady_ms
-from gaphub.cluster.types import Move
+from gaphub.cluster.types import LeaseChange
 from gaphub.core import Core
 from gaphub.interface import Status
 from gaphub.messages import Job
@@ -441,7 +441,7 @@
     keyring.write(keys, [first])
 
     async def run() -> None:
-        moves: list[Move] = []
+        moves: list[LeaseChange] = []
         nodes = [Node(f, Counters(), moves.append) for f in members(3, keys, tmp_path)]
         for node in nodes:
             await node.open()
@@ -510,7 +510,7 @@
     async def run() -> None:
         skew = [0.0]
         fronts = members(2, keys, tmp_path)
-        moves: list[Move] = []
+        moves: list[LeaseChange] = []
         nodes = [Node(fronts[0], Counters(), moves.append, lambda: steady_ms() + skew[0]),
                  Node(fronts[1], Counters(), lambda move: None)]
         nodes[1].set_ready(False)
@@ -520,7 +520,7 @@
         await until(nodes[0].holds)
         skew[0] = 2 * LEASE_MS  # the process was stopped, and nothing has run since
         assert not nodes[0].holds()
-        await until(lambda: any(not m.gained and m.why == "expired" for m in moves))
+        await until(lambda: any(not m.gained and m.reason == "expired" for m in moves))
         for node in nodes:
             await node.close()
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -43,7 +43,7 @@
                     if (i, to) not in self.cut and not {i, to} & self.down:
                         self.nodes[to].receive(self.clock(to), i, message)
         for i, node in self.nodes.items():
-            self.moves += [(i, m.gained, m.why) for m in node.moves]
+            self.moves += [(i, m.gained, m.reason) for m in node.moves]
             node.moves = []
 
     def run(self, ms: float, step: float = 5.0) -> None:
