--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -129,7 +129,7 @@
                 self.winners.setdefault(move.term, set()).add(i)
         node.out, node.moves = [], []
 
-    def broken(self) -> str:
+    def find_violation(self) -> str:
         """What is wrong in this state; empty: nothing."""
         holders = [i for i, n in self.nodes.items()
                    if n.role is Role.HOLDER and self.clock(i) < n.lease_until]
@@ -212,13 +212,13 @@
 
 
 @dataclass
-class Report:
+class ExplorationReport:
     """What an exploration saw."""
 
     states: int = 0
     terms: int = 0
     leases: int = 0
-    found: str = ""
+    violation: str = ""
     trace: list[str] = field(default_factory=list)
 
 
@@ -240,15 +240,15 @@
     return made, make
 
 
-def sweep(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), faults: int = 1, ticks: int = 60,
-          standing: tuple[int, ...] = (1, 2, 3)) -> Report:
+def explore_within_bound(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), faults: int = 1, ticks: int = 60,
+          standing: tuple[int, ...] = (1, 2, 3)) -> ExplorationReport:
     """Every run of so many ticks in which up to so many odd things happen, wherever and whichever they are.
 
     This is delay-bounded exploration (Emmi, Qadeer and Rakamaric 2011): the usual order is given, and each
     way to depart from it within the bound is taken.
     """
     start, make = world(fault, rates, standing)
-    report = Report()
+    report = ExplorationReport()
     seen: set[int] = set()
     stack: list[tuple[World, int, tuple[Any, ...]]] = [(start, faults, ())]
     while stack:
@@ -271,13 +271,13 @@
     return report
 
 
-def pauses(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), ticks: int = 60) -> Report:
+def explore_holder_pauses(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), ticks: int = 60) -> ExplorationReport:
     """The holder stops for some ticks, at every moment, and is cut off meanwhile: answers wait for it.
 
     Two faults that must come within a few ticks of each other; ``sweep`` would need its square for them.
     """
     start, make = world(fault, rates, (1, 2, 3))
-    report = Report()
+    report = ExplorationReport()
     for i, node in start.nodes.items():
         node.rules = replace(node.rules, stagger_ms=0.0)  # no safety may rest on who waits for whom
         node.set_ready(i == 1, start.clock(i))
@@ -301,12 +301,12 @@
     return report
 
 
-def walk(fault: str = "none", seed: int = 0, steps: int = 400, members: int = 3) -> Report:
+def random_walk(fault: str = "none", seed: int = 0, steps: int = 400, members: int = 3) -> ExplorationReport:
     """One random walk; a seed gives the same walk again."""
     draw = random.Random(seed)
     rates = tuple(draw.choice(RATES if seed % 2 else (RATES[0], RATES[-1])) for _ in range(members))
     at, make = world(fault, rates, tuple(i + 1 for i in range(members)), draw.randint(1, members))
-    report = Report()
+    report = ExplorationReport()
     path: list[Any] = []
     oddness = draw.choice((0.02, 0.06, 0.15))
     # Each walk knows some kinds of faults only (swarm testing, Groce et al. 2012): pairs meet more often.
@@ -327,11 +327,11 @@
     return report
 
 
-def _note(report: Report, at: World, path: Any) -> bool:
+def _note(report: ExplorationReport, at: World, path: Any) -> bool:
     report.states += 1
     report.terms = max(report.terms, *(n.term for n in at.nodes.values()))
     report.leases = max(report.leases, sum(len(w) for w in at.winners.values()))
-    report.found = at.broken()
-    if report.found:
+    report.violation = at.find_violation()
+    if report.violation:
         report.trace = [str(c) for c in path]
-    return bool(report.found)
+    return bool(report.violation)
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -79,18 +79,18 @@
     bad = False
     for name in [fault] if fault else explorer.FAULTS:
         began = time.monotonic()
-        swept, paused = explorer.sweep(name, faults=faults, ticks=ticks), explorer.pauses(name)
+        swept, paused = explorer.explore_within_bound(name, faults=faults, ticks=ticks), explorer.explore_holder_pauses(name)
         states, terms, leases = swept.states + paused.states, swept.terms, swept.leases
-        found = swept.found or paused.found
+        found = swept.violation or paused.violation
         walked = 0
         for seed in range(walks):
             if found:
                 break
-            report = explorer.walk(name, seed, members=members)
+            report = explorer.random_walk(name, seed, members=members)
             walked += 1
             states += report.states
             terms, leases = max(terms, report.terms), max(leases, report.leases)
-            found = report.found and f"{report.found}, by walk {seed}"
+            found = report.violation and f"{report.violation}, by walk {seed}"
         sound = bool(found) == (name != "none")
         bad |= not sound
         console.print(f"{name}: {states} states ({swept.states} by the sweep, "
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -242,8 +242,8 @@
 # --- the explorer ------------------------------------------------------------------------------------
 
 def test_every_single_fault_at_every_moment_breaks_nothing() -> None:
-    report = explore.sweep("none", ticks=40)
-    assert report.found == ""
+    report = explore.explore_within_bound("none", ticks=40)
+    assert report.violation == ""
     assert report.states > 100_000
     assert report.terms >= 2
 
@@ -252,8 +252,8 @@
 def test_random_walks_break_nothing(members: int) -> None:
     states = leases = 0
     for seed in range(400):
-        report = explore.walk("none", seed, members=members)
-        assert report.found == "", (seed, report.trace)
+        report = explore.random_walk("none", seed, members=members)
+        assert report.violation == "", (seed, report.trace)
         states += report.states
         leases = max(leases, report.leases)
     assert states > 100_000
@@ -263,16 +263,16 @@
 # The explorer must be able to find what it looks for, by one of its ways.
 @pytest.mark.parametrize("fault", [f for f in explore.FAULTS if f != "none"])
 def test_a_seeded_fault_is_found(fault: str) -> None:
-    assert explore.pauses(fault).found or any(explore.walk(fault, seed).found for seed in range(400))
+    assert explore.explore_holder_pauses(fault).violation or any(explore.random_walk(fault, seed).violation for seed in range(400))
 
 
 def test_a_holder_that_stands_still_breaks_nothing() -> None:
-    report = explore.pauses()
-    assert report.found == ""
+    report = explore.explore_holder_pauses()
+    assert report.violation == ""
     assert report.states > 10_000
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**9), st.integers(2, 7), st.lists(st.sampled_from(explore.KINDS), min_size=2, unique=True))
 def test_any_size_and_seed(seed: int, members: int, kinds: list[str]) -> None:
-    assert explore.walk("none", seed, steps=200, members=members).found == ""
+    assert explore.random_walk("none", seed, steps=200, members=members).violation == ""
