--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -241,7 +241,7 @@
 
 
 def explore_within_bound(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), faults: int = 1, ticks: int = 60,
-          standing: tuple[int, ...] = (1, 2, 3)) -> ExplorationReport:
+                         standing: tuple[int, ...] = (1, 2, 3)) -> ExplorationReport:
     """Every run of so many ticks in which up to so many odd things happen, wherever and whichever they are.
 
     This is delay-bounded exploration (Emmi, Qadeer and Rakamaric 2011): the usual order is given, and each
@@ -271,7 +271,8 @@
     return report
 
 
-def explore_holder_pauses(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), ticks: int = 60) -> ExplorationReport:
+def explore_holder_pauses(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2),
+                          ticks: int = 60) -> ExplorationReport:
     """The holder stops for some ticks, at every moment, and is cut off meanwhile: answers wait for it.
 
     Two faults that must come within a few ticks of each other; ``sweep`` would need its square for them.
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -79,7 +79,8 @@
     bad = False
     for name in [fault] if fault else explorer.FAULTS:
         began = time.monotonic()
-        swept, paused = explorer.explore_within_bound(name, faults=faults, ticks=ticks), explorer.explore_holder_pauses(name)
+        swept, paused = (explorer.explore_within_bound(name, faults=faults, ticks=ticks),
+                         explorer.explore_holder_pauses(name))
         states, terms, leases = swept.states + paused.states, swept.terms, swept.leases
         found = swept.violation or paused.violation
         walked = 0
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -263,7 +263,8 @@
 # The explorer must be able to find what it looks for, by one of its ways.
 @pytest.mark.parametrize("fault", [f for f in explore.FAULTS if f != "none"])
 def test_a_seeded_fault_is_found(fault: str) -> None:
-    assert explore.explore_holder_pauses(fault).violation or any(explore.random_walk(fault, seed).violation for seed in range(400))
+    assert (explore.explore_holder_pauses(fault).violation
+            or any(explore.random_walk(fault, seed).violation for seed in range(400)))
 
 
 def test_a_holder_that_stands_still_breaks_nothing() -> None:
