--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -240,8 +240,8 @@
     return made, make
 
 
-def explore_within_bound(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), faults: int = 1, ticks: int = 60,
-                         standing: tuple[int, ...] = (1, 2, 3)) -> ExplorationReport:
+def explore_within_bound(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2), faults: int = 1,
+                         ticks: int = 60, standing: tuple[int, ...] = (1, 2, 3)) -> ExplorationReport:
     """Every run of so many ticks in which up to so many odd things happen, wherever and whichever they are.
 
     This is delay-bounded exploration (Emmi, Qadeer and Rakamaric 2011): the usual order is given, and each
