--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -14,7 +14,7 @@
 from ..metrics import Counters
 from ..tasks import Tasks
 from .bgp import Update
-from .session import Session, Speaker, State
+from .session import Session, SessionConfig, State
 from .speaker import BfdSpeaker, BgpSpeaker
 
 LOCAL_PREF = 100
@@ -46,7 +46,7 @@
     prefix = f"{front.service}/32"
     if session.internal:
         return Update((), (prefix,), 0, (), front.next_hop, None, min(MED_MOST, LOCAL_PREF + term))
-    return Update((), (prefix,), 0, (session.speaker.asn,), front.next_hop, max(0, MED_MOST - term))
+    return Update((), (prefix,), 0, (session.config.asn,), front.next_hop, max(0, MED_MOST - term))
 
 
 class BgpAnnouncer:
@@ -65,7 +65,7 @@
         for i, n in enumerate(bgp.neighbours):
             speaker = BgpSpeaker(
                 parse_address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
-                Speaker(bgp.local_as, bgp.router_id, n.peer_as, bgp.hold_s, bgp.retry_s), counters, clock,
+                SessionConfig(bgp.local_as, bgp.router_id, n.peer_as, bgp.hold_s, bgp.retry_s), counters, clock,
                 self._route)
             self.speakers.append(speaker)
             self.watchers.append(BfdSpeaker(
--- a/gaphub/announce/session.py
+++ b/gaphub/announce/session.py
@@ -28,7 +28,7 @@
     ESTABLISHED = "established"
 
 
-class Speaker(NamedTuple):
+class SessionConfig(NamedTuple):
     """What one side of a session says of itself and asks of the other."""
 
     asn: int
@@ -42,8 +42,8 @@
 class Session:
     """One session; the host calls ``start``, then hands over what happens."""
 
-    def __init__(self, speaker: Speaker) -> None:
-        self.speaker = speaker
+    def __init__(self, config: SessionConfig) -> None:
+        self.config = config
         self.state = State.IDLE
         self.out = bytearray()
         self.connect = False  # the host should connect now
@@ -57,23 +57,23 @@
         self.failures = 0
         self.sessions = 0  # how often it was established
         self.last_error = ""
-        self.news: list[bgp.Update] = []
+        self.received_updates: list[bgp.Update] = []
 
     @property
     def internal(self) -> bool:
         """Whether both sides are of one AS (LOCAL_PREF is said only then)."""
-        return self.speaker.asn == self.speaker.peer_as
+        return self.config.asn == self.config.peer_as
 
     def start(self, now: float) -> None:
         """Begin: connect, or wait to be connected to."""
         if self.state is State.IDLE:
-            self.state = State.ACTIVE if self.speaker.passive else State.CONNECT
-            self.connect = not self.speaker.passive
+            self.state = State.ACTIVE if self.config.passive else State.CONNECT
+            self.connect = not self.config.passive
 
     def connected(self, now: float) -> None:
         """The connection is up."""
         self.reader = bgp.Reader()
-        self.out = bytearray(bgp.open_(self.speaker.asn, int(self.speaker.hold_s), self.speaker.router_id))
+        self.out = bytearray(bgp.open_(self.config.asn, int(self.config.hold_s), self.config.router_id))
         self.state = State.OPEN_SENT
         self.hold_at = now + OPEN_HOLD_MS
         self.drop = False
@@ -108,7 +108,7 @@
             self.alive_at = now + self.hold_ms / 3
         if self.retry_at and now >= self.retry_at and self.state in (State.CONNECT, State.ACTIVE):
             self.retry_at = 0.0
-            self.connect = not self.speaker.passive
+            self.connect = not self.config.passive
 
     def say(self, update: bgp.Update) -> bool:
         """Write an UPDATE; False where the session is not established."""
@@ -144,7 +144,7 @@
             self._hold(now)
         elif self.state is State.ESTABLISHED and not isinstance(message, bgp.Open):
             if isinstance(message, bgp.Update):
-                self.news.append(message)
+                self.received_updates.append(message)
             self._hold(now)
         else:
             # RFC 6608: the subcode names the state in which it was not expected.
@@ -152,13 +152,13 @@
             raise bgp.BgpError(bgp.FSM_ERROR, subcode, b"", "out of turn")
 
     def _opened(self, now: float, message: bgp.Open) -> None:
-        if message.asn != self.speaker.peer_as:
+        if message.asn != self.config.peer_as:
             raise bgp.BgpError(bgp.OPEN_ERROR, 2, b"", "AS")
-        if message.router_id == self.speaker.router_id and self.internal:
+        if message.router_id == self.config.router_id and self.internal:
             raise bgp.BgpError(bgp.OPEN_ERROR, 3, b"", "our own identifier")
         self.peer = message
         self.reader.four_octet = message.four_octet
-        self.hold_ms = min(self.speaker.hold_s, message.hold_s) * 1000.0
+        self.hold_ms = min(self.config.hold_s, message.hold_s) * 1000.0
         self.out += bgp.keepalive()
         self.alive_at = now + self.hold_ms / 3 if self.hold_ms else 0.0
         self._hold(now)
@@ -175,9 +175,9 @@
 
     def _idle(self, now: float) -> None:
         """Section 8: back to the start, and again after the connect retry time, doubled while it fails."""
-        self.state = State.ACTIVE if self.speaker.passive else State.CONNECT
+        self.state = State.ACTIVE if self.config.passive else State.CONNECT
         self.peer = None
         self.hold_at = self.alive_at = 0.0
-        self.retry_at = now + self.speaker.retry_s * 1000.0 * min(RETRY_MOST, 2.0 ** self.failures)
+        self.retry_at = now + self.config.retry_s * 1000.0 * min(RETRY_MOST, 2.0 ** self.failures)
         self.failures += 1
-        self.news = []
+        self.received_updates = []
--- a/gaphub/announce/speaker.py
+++ b/gaphub/announce/speaker.py
@@ -16,7 +16,7 @@
 from ..metrics import Counters
 from . import bfd
 from .bgp import Update
-from .session import Session, Speaker, State
+from .session import Session, SessionConfig, State
 
 READ = 16 * 1024
 CONNECT_S = 2.0
@@ -28,7 +28,7 @@
 class BgpSpeaker:
     """The actor of one session that this side connects."""
 
-    def __init__(self, to: Address, source: str, speaker: Speaker, counters: Counters,
+    def __init__(self, to: Address, source: str, speaker: SessionConfig, counters: Counters,
                  clock: Callable[[], float], routes: Callable[[Session], Update | None]) -> None:
         self.to = to
         self.source = source
@@ -101,7 +101,7 @@
             while not session.drop:
                 session.tick(self.clock())
                 if session.state is State.ESTABLISHED:
-                    if self.said is None and not session.news:
+                    if self.said is None and not session.received_updates:
                         self.counters.values["bgp.established"] = session.sessions
                     self._say()
                 self._flush()
@@ -117,7 +117,7 @@
                     if not data:
                         break
                     session.received(self.clock(), data)
-                    session.news.clear()  # what routers announce to us is read, checked and not used
+                    session.received_updates.clear()  # what routers announce to us is read, checked and not used
                     read = asyncio.ensure_future(reader.read(READ))
             self._flush()
             with suppress(TimeoutError):
--- a/gaphub/lab/front.py
+++ b/gaphub/lab/front.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 
 from ..announce.bgp import Update
-from ..announce.session import Session, Speaker, State
+from ..announce.session import Session, SessionConfig, State
 from ..announce.speaker import BfdSpeaker
 from ..cluster.node import steady_ms
 from ..config import Address
@@ -30,7 +30,8 @@
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
-        self.session = Session(Speaker(ROUTER_AS, "10.255.0.1", SITE_AS, hold_s=9, retry_s=0.1, passive=True))
+        self.session = Session(SessionConfig(ROUTER_AS, "10.255.0.1", SITE_AS, hold_s=9, retry_s=0.1,
+                                             passive=True))
         self.session.start(steady_ms())
         self.routes: dict[str, Update] = {}
         self.announced = 0  # how often a route was announced
@@ -131,13 +132,13 @@
                 if not data:
                     break
                 session.received(steady_ms(), data)
-                for update in session.news:
+                for update in session.received_updates:
                     for prefix in update.withdrawn:
                         neighbour.routes.pop(prefix, None)
                     for prefix in update.announced:
                         neighbour.announced += 1
                         neighbour.routes[prefix] = update
-                session.news.clear()
+                session.received_updates.clear()
                 self._changed()
             if session.out:
                 writer.write(bytes(session.out))
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -13,7 +13,7 @@
 
 from gaphub import admin, config, logs
 from gaphub.announce import announcer, bfd, bgp
-from gaphub.announce.session import Session, Speaker, State
+from gaphub.announce.session import Session, SessionConfig, State
 from gaphub.announce.speaker import BfdSpeaker, BgpSpeaker
 from gaphub.cli import gaphub
 from gaphub.cluster import keyring
@@ -297,7 +297,7 @@
     def __init__(self) -> None:
         self.updates: list[bgp.Update] = []
         self.sessions = 0
-        self.session = Session(Speaker(65000, "10.0.0.9", 65010, passive=True))
+        self.session = Session(SessionConfig(65000, "10.0.0.9", 65010, passive=True))
         self.writer: asyncio.StreamWriter | None = None
         self.server: asyncio.Server | None = None
 
@@ -305,7 +305,7 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.writer, self.session = writer, Session(Speaker(65000, "10.0.0.9", 65010, passive=True))
+        self.writer, self.session = writer, Session(SessionConfig(65000, "10.0.0.9", 65010, passive=True))
         self.session.start(0.0)
         self.session.connected(steady_ms())
         try:
@@ -318,8 +318,8 @@
                 before = self.session.sessions
                 self.session.received(steady_ms(), data)
                 self.sessions += self.session.sessions - before
-                self.updates += self.session.news
-                self.session.news.clear()
+                self.updates += self.session.received_updates
+                self.session.received_updates.clear()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
@@ -386,8 +386,8 @@
             writer.close()
 
         server = await asyncio.start_server(garble, "127.0.0.1", port)
-        speaker = BgpSpeaker(("127.0.0.1", port), "", Speaker(65010, "10.0.0.1", 65000, retry_s=0.01), Counters(),
-                             steady_ms, lambda s: None)
+        speaker = BgpSpeaker(("127.0.0.1", port), "", SessionConfig(65010, "10.0.0.1", 65000, retry_s=0.01),
+                             Counters(), steady_ms, lambda s: None)
         task = asyncio.create_task(speaker.run())
         await until(lambda: len(seen) >= 2)  # it comes again
         assert not task.done()
@@ -422,7 +422,7 @@
 
 
 def test_a_speaker_is_not_up_before_both_said_so() -> None:
-    assert Session(Speaker(1, "10.0.0.1", 2)).state is State.IDLE
+    assert Session(SessionConfig(1, "10.0.0.1", 2)).state is State.IDLE
 
 
 # --- the member at work ------------------------------------------------------------------------------
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -12,7 +12,7 @@
 
 from gaphub.announce import bfd, bgp
 from gaphub.announce.announcer import route
-from gaphub.announce.session import Session, Speaker, State
+from gaphub.announce.session import Session, SessionConfig, State
 from gaphub.config import AddressConfig
 
 ROUTE = bgp.Update((), ("192.0.2.80/32",), 0, (65010,), "10.0.0.1", 4294967290)
@@ -152,8 +152,8 @@
 # --- the BGP session ---------------------------------------------------------------------------------
 
 def pair(four: bool = True) -> tuple[Session, Session]:
-    one = Session(Speaker(65010, "10.0.0.1", 65000))
-    other = Session(Speaker(65000, "10.0.0.2", 65010, passive=True))
+    one = Session(SessionConfig(65010, "10.0.0.1", 65000))
+    other = Session(SessionConfig(65000, "10.0.0.2", 65010, passive=True))
     for s in (one, other):
         s.start(0.0)
     return one, other
@@ -184,10 +184,10 @@
     exchange(one, other)
     assert one.say(ROUTE)
     exchange(one, other)
-    assert other.news == [ROUTE]
+    assert other.received_updates == [ROUTE]
     assert one.say(bgp.Update(withdrawn=ROUTE.announced))
     exchange(one, other)
-    assert other.news[1].withdrawn == ROUTE.announced
+    assert other.received_updates[1].withdrawn == ROUTE.announced
 
 
 def test_keepalives_hold_the_session_and_silence_ends_it() -> None:
@@ -230,7 +230,7 @@
 
 def test_of_two_holders_the_later_term_wins() -> None:
     front = AddressConfig(service="192.0.2.80", next_hop="10.0.0.1")
-    outside, inside = established(), Session(Speaker(65000, "10.0.0.1", 65000))
+    outside, inside = established(), Session(SessionConfig(65000, "10.0.0.1", 65000))
     assert (route(front, outside, 8).med or 0) < (route(front, outside, 7).med or 0)
     assert (route(front, inside, 8).local_pref or 0) > (route(front, inside, 7).local_pref or 0)
     assert route(front, inside, 8).as_path == ()
