--- a/gaphub/cluster/detector.py
+++ b/gaphub/cluster/detector.py
@@ -1,8 +1,7 @@
-"""Owns the failure detector: how suspect a silence is, from the gaps seen before.
+"""The phi accrual failure detector (Hayashibara, Defago, Yared and Katayama 2004) with a floor on the deviation.
 
-Pure: times are handed in, in milliseconds.  It is the accrual detector of Hayashibara, Defago, Yared and
-Katayama 2004 ("The phi accrual failure detector"), with a floor on the deviation.  It advises (status, ranks);
-no lease depends on it.
+It derives how suspect a silence is from the intervals between earlier heartbeats.  Pure: times are passed in, in
+milliseconds.  The result is shown in the status only; no lease depends on it.
 """
 
 from __future__ import annotations
@@ -10,30 +9,32 @@
 import math
 from collections import deque
 
-SAMPLES = 50
-PHI_MOST = 99.0
+MAX_SAMPLES = 50
+MAX_PHI = 99.0
 
 
-class Detector:
-    """The gaps between signs of life of one peer."""
+class FailureDetector:
+    """The intervals between the heartbeats of one peer."""
 
-    def __init__(self, usual_ms: float) -> None:
-        self.usual_ms = usual_ms
-        self.last: float | None = None
-        self.gaps: deque[float] = deque([usual_ms], SAMPLES)
+    def __init__(self, expected_interval_ms: float) -> None:
+        self.expected_interval_ms = expected_interval_ms
+        self.last_heartbeat_at: float | None = None
+        self.intervals_ms: deque[float] = deque([expected_interval_ms], MAX_SAMPLES)
 
-    def heard(self, now: float) -> None:
-        """A sign of life."""
-        if self.last is not None and now >= self.last:
-            self.gaps.append(min(now - self.last, 10 * self.usual_ms))
-        self.last = now
+    def record_heartbeat(self, now: float) -> None:
+        """Record a message of the peer."""
+        if self.last_heartbeat_at is not None and now >= self.last_heartbeat_at:
+            self.intervals_ms.append(min(now - self.last_heartbeat_at, 10 * self.expected_interval_ms))
+        self.last_heartbeat_at = now
 
     def phi(self, now: float) -> float:
-        """How suspect the present silence is: 1 means a chance of 10 % that it is none, 2 of 1 %; 0 to 99."""
-        if self.last is None:
-            return PHI_MOST
-        mean = sum(self.gaps) / len(self.gaps)
-        spread = math.sqrt(sum((g - mean) ** 2 for g in self.gaps) / len(self.gaps))
-        spread = max(spread, self.usual_ms * 0.25)
-        later = 0.5 * math.erfc((now - self.last - mean) / (spread * math.sqrt(2.0)))
-        return min(PHI_MOST, -math.log10(later)) if later > 0 else PHI_MOST
+        """Return the suspicion level, 0 to 99; a live peer is silent for this long with probability 10**-phi."""
+        if self.last_heartbeat_at is None:
+            return MAX_PHI
+        mean_ms = sum(self.intervals_ms) / len(self.intervals_ms)
+        deviation_ms = math.sqrt(sum((interval_ms - mean_ms) ** 2 for interval_ms in self.intervals_ms)
+                                 / len(self.intervals_ms))
+        deviation_ms = max(deviation_ms, self.expected_interval_ms * 0.25)
+        tail_probability = 0.5 * math.erfc((now - self.last_heartbeat_at - mean_ms)
+                                           / (deviation_ms * math.sqrt(2.0)))
+        return min(MAX_PHI, -math.log10(tail_probability)) if tail_probability > 0 else MAX_PHI
--- a/gaphub/cluster/keyring.py
+++ b/gaphub/cluster/keyring.py
@@ -1,7 +1,7 @@
-"""Owns the key ring file: several live keys, one of which signs; reads it, checks it, writes it anew.
+"""The key ring file: several accepted keys, one of which signs; reading, validation and replacement.
 
-A file that others may read is refused.  Secrets never reach a log nor an error's text.  Rotation without a gap
-is three reloads: a new key that all accept; then the one that all send with; then the old one goes.
+A file that other users may read is rejected.  Secrets never appear in logs or error messages.  Rotation without
+interruption takes three reloads on all members: add the new key, sign with the new key, remove the old key.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from ..config import ConfigError
 from .envelope import Key
 
-SECRET = 32  # bytes
-KEYS_MOST = 16
-IDENT = r"^[0-9a-z]{8}$"
+SECRET_BYTES = 32
+MAX_KEYS = 16
+KEY_ID_PATTERN = r"^[0-9a-z]{8}$"
 
 
 class KeyRingError(ConfigError):
-    """A key file that cannot be used; the text names the file's fault, never a secret."""
+    """A key file that cannot be used; the message names the fault and never contains a secret."""
 
 
 class KeyEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One key as the file spells it."""
+    """One key of the file."""
 
     id: str
     secret: str  # hexadecimal, 32 bytes
-    sign: bool = False  # exactly one key signs; all are believed
+    sign: bool = False  # exactly one key signs; all keys are accepted
     made: str = ""
 
 
@@ -41,11 +41,11 @@
 
 
 class KeyRing:
-    """The keys in force.  ``load`` changes all of them or none."""
+    """The keys in force; the entries are validated as a whole."""
 
     def __init__(self, entries: Sequence[KeyEntry]) -> None:
-        if not 1 <= len(entries) <= KEYS_MOST:
-            raise KeyRingError(f"key: there must be 1 to {KEYS_MOST} keys")
+        if not 1 <= len(entries) <= MAX_KEYS:
+            raise KeyRingError(f"key: the file must have 1 to {MAX_KEYS} keys")
         self.entries = list(entries)
         self._keys: dict[str, Key] = {}
         for i, entry in enumerate(entries):
@@ -53,25 +53,25 @@
                 secret = bytes.fromhex(entry.secret)
             except ValueError:
                 raise KeyRingError(f"key[{i}].secret: not hexadecimal") from None
-            if len(secret) != SECRET:
-                raise KeyRingError(f"key[{i}].secret: not {SECRET} bytes")
+            if len(secret) != SECRET_BYTES:
+                raise KeyRingError(f"key[{i}].secret: not {SECRET_BYTES} bytes")
             if len(entry.id) != 8 or not entry.id.isascii() or not entry.id.isalnum():
                 raise KeyRingError(f"key[{i}].id: not 8 letters and digits")
             if entry.id in self._keys:
-                raise KeyRingError(f"key[{i}].id: {entry.id} comes twice")
+                raise KeyRingError(f"key[{i}].id: {entry.id} is a duplicate")
             self._keys[entry.id] = Key(entry.id, secret)
         signing = [e.id for e in entries if e.sign]
         if len(signing) != 1:
-            raise KeyRingError(f"key: {len(signing)} keys sign, there must be one")
+            raise KeyRingError(f"key: {len(signing)} keys sign, must be exactly one")
         self.signing = self._keys[signing[0]]
 
     def get(self, ident: str) -> Key | None:
-        """The key of that name, if it is in force."""
+        """Return the key with this id, or None."""
         return self._keys.get(ident)
 
 
 def read(path: str | Path) -> KeyRing:
-    """The key ring of a file; KeyRingError says what is wrong with it."""
+    """Read and validate a key ring file; raise KeyRingError if it cannot be used."""
     try:
         with open(path, "rb") as file:
             mode = os.fstat(file.fileno()).st_mode
@@ -84,20 +84,20 @@
     except msgspec.ValidationError as error:
         raise KeyRingError(f"{path}: {error}") from None
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise KeyRingError(f"{path}: not TOML") from None  # a parser's text could quote a secret
+        raise KeyRingError(f"{path}: not TOML") from None  # the parser's message could quote a secret
 
 
 def write(path: str | Path, entries: Sequence[KeyEntry]) -> None:
-    """Replace the file whole, readable by its owner alone."""
+    """Replace the file atomically, readable by its owner only."""
     KeyRing(entries)
     lines = ["# The cluster's keys.  All are believed; the one that signs is marked.  Keep it from others."]
     for e in entries:
         lines += ["", "[[key]]", f'id = "{e.id}"', f'secret = "{e.secret}"', f"sign = {str(e.sign).lower()}",
                   f'made = "{e.made}"']
     target = Path(path)
-    handle, name = tempfile.mkstemp(dir=target.parent, prefix=target.name)
+    descriptor, name = tempfile.mkstemp(dir=target.parent, prefix=target.name)
     try:
-        with os.fdopen(handle, "w") as file:
+        with os.fdopen(descriptor, "w") as file:
             os.fchmod(file.fileno(), 0o600)
             file.write("\n".join(lines) + "\n")
             file.flush()
@@ -109,6 +109,6 @@
 
 
 def new_entry(made: str, signs: bool) -> KeyEntry:
-    """A key drawn from the system's randomness."""
+    """Create a key from the operating system's random number generator."""
     ident = "".join(secrets.choice("0123456789abcdefghijklmnopqrstuvwxyz") for _ in range(8))
-    return KeyEntry(ident, secrets.token_hex(SECRET), signs, made)
+    return KeyEntry(ident, secrets.token_hex(SECRET_BYTES), signs, made)
--- a/gaphub/cluster/memory.py
+++ b/gaphub/cluster/memory.py
@@ -1,7 +1,7 @@
-"""Owns the file with a voter's term and vote: written and synced whole before any message that follows from it.
+"""The file that persists a voter's term and vote; written and synced before any message that depends on them.
 
-A file that is missing means that there is no memory; one that is damaged is reported and counts as missing, as
-a voter without a memory recovers from the others and one with a wrong memory could vote twice.
+A missing file means that the state was lost.  A damaged file is reported and counts as missing: a voter without
+state recovers it from the others, whereas one with wrong state could vote twice in a term.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 import zlib
 from pathlib import Path
 
-from .types import Memory
+from .types import PersistentState
 
-_FORM = "gaphub-vote 1 {term} {vote}"
+_LINE_FORMAT = "gaphub-vote 1 {term} {vote}"
 
 
-class MemoryFile:
-    """The file of one member; ``path`` empty: there is none, and nothing is kept."""
+class StateFile:
+    """The file of one member; with an empty ``path`` nothing is persisted."""
 
     def __init__(self, path: str) -> None:
         self.path = Path(path) if path else None
         self.fault = ""
 
-    def read(self) -> Memory | None:
-        """What the former life wrote; None where that is nothing or cannot be relied on."""
+    def read(self) -> PersistentState | None:
+        """Return the state written before the restart; None if there is none or the file is damaged."""
         if self.path is None:
             return None
         try:
@@ -33,29 +33,30 @@
         except (OSError, UnicodeDecodeError) as error:
             self.fault = type(error).__name__
             return None
-        line, _, check = text.rstrip("\n").rpartition(" ")
-        words = line.split(" ")
-        if check != f"{zlib.crc32(line.encode()):08x}" or len(words) != 4 or words[:2] != ["gaphub-vote", "1"]:
+        line, _, checksum = text.rstrip("\n").rpartition(" ")
+        fields = line.split(" ")
+        if (checksum != f"{zlib.crc32(line.encode()):08x}" or len(fields) != 4
+                or fields[:2] != ["gaphub-vote", "1"]):
             self.fault = "damaged"
             return None
-        return Memory(int(words[2]), int(words[3]))
+        return PersistentState(int(fields[2]), int(fields[3]))
 
-    def write(self, memory: Memory | None) -> None:
-        """Write beside, sync, rename, sync the folder; OSError if the disk does not take it."""
+    def write(self, state: PersistentState | None) -> None:
+        """Replace the file atomically and durably, or remove it for None; raise OSError if the disk rejects it."""
         if self.path is None:
             return
-        if memory is None:
+        if state is None:
             self.path.unlink(missing_ok=True)
             return
-        line = _FORM.format(term=memory.term, vote=memory.voted_for)
-        beside = self.path.with_name(self.path.name + ".new")
-        with open(beside, "w", encoding="ascii") as file:
+        line = _LINE_FORMAT.format(term=state.term, vote=state.voted_for)
+        temporary = self.path.with_name(self.path.name + ".new")
+        with open(temporary, "w", encoding="ascii") as file:
             file.write(f"{line} {zlib.crc32(line.encode()):08x}\n")
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, self.path)
-        folder = os.open(self.path.parent, os.O_RDONLY)
+        os.replace(temporary, self.path)
+        directory = os.open(self.path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
--- a/gaphub/cluster/types.py
+++ b/gaphub/cluster/types.py
@@ -1,6 +1,6 @@
-"""Owns the words that members say to each other and the figures they go by; plain values, no behaviour.
+"""Messages between cluster members, and the parameters of an election: plain values without behaviour.
 
-Nothing here may do I/O, read a clock or draw at random.
+Nothing here does I/O, reads a clock or draws random numbers.
 """
 
 from __future__ import annotations
@@ -9,42 +9,42 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MEMBERS_MOST = 7
-MEMBERS_LEAST = 2
+MAX_MEMBERS = 7
+MIN_MEMBERS = 2
 
 
 class Kind(IntEnum):
-    """What a message says."""
+    """The type of a message; the number is its value on the wire."""
 
-    HELLO = 1  # I live; this is my term
-    ASK = 2  # would you vote for me in this term?  (Raft's pre-vote; changes nothing)
-    ASK_OK = 3
-    VOTE = 4  # vote for me in this term, and promise a lease
-    VOTE_OK = 5
-    RENEW = 6  # I hold; promise the lease again
-    RENEW_OK = 7
-    NO = 8  # what you said is of an old term, or I may not: my own term is in ``term``
-    RELEASE = 9  # I hold no longer: what you promised me for this term is void
-    TRANSFER = 10  # RELEASE, and stand at once: you are my successor
+    HELLO = 1  # heartbeat with the sender's term
+    PRE_VOTE = 2  # asks whether the receiver would vote for the sender in this term (Raft); changes no state
+    PRE_VOTE_GRANTED = 3
+    VOTE = 4  # asks for a vote in this term and a promise of the lease
+    VOTE_GRANTED = 5
+    RENEW = 6  # from the holder: asks for the promise of the lease to be extended
+    RENEW_ACK = 7
+    REJECT = 8  # the request has an old term or may not be granted; ``term`` is the sender's own term
+    RELEASE = 9  # the sender has given up the lease; promises made to it for this term are void
+    TRANSFER = 10  # RELEASE, and the receiver is the successor: it starts a ballot at once
 
 
 class Message(NamedTuple):
-    """One message; ``round`` names the ballot or renewal that it belongs to.
+    """One message; ``round`` identifies the ballot or renewal that it belongs to.
 
-    ``term`` 0 to 2**63-1; ``round`` 0 to 2**63-1, chosen by whoever asks and handed back in the answer.
+    ``term`` and ``round`` are 0 to 2**63-1.  The requester chooses ``round``, and the answer repeats it.
     """
 
     kind: Kind
     term: int
     round: int = 0
     ready: bool = False
-    amnesic: bool = False  # it may not vote (yet): it abstains, recovers its memory, or is no voter
+    abstaining: bool = False  # may not vote: not yet after a restart, or it has no vote at all
     priority: int = 0
-    holder: int = 0  # whom it believes to hold; 0: nobody
+    holder: int = 0  # the member that the sender believes to hold the lease; 0: none
 
 
-class Memory(NamedTuple):
-    """What a voter must not forget: written to disk before any message that follows from it."""
+class PersistentState(NamedTuple):
+    """The state that a voter must not lose: written to disk before any message that depends on it is sent."""
 
     term: int = 0
     voted_for: int = 0
@@ -52,42 +52,43 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One instance of the cluster."""
+    """One member of the cluster."""
 
     id: int  # 1 to 255
     name: str
     votes: bool = True
-    stands: bool = True  # False: a witness, or an instance that must never hold
-    priority: int = 100  # 0 to 255; a higher one stands sooner
+    stands: bool = True  # whether it may become a candidate; False for a witness, which must never hold the lease
+    priority: int = 100  # 0 to 255; members of higher priority become candidates first
 
 
 @dataclass(frozen=True)
-class Rules:
-    """The figures of an election, in milliseconds unless a name says otherwise.
+class ElectionParameters:
+    """The parameters of an election; durations in milliseconds.
 
-    ``margin`` is the drift margin: a holder counts its lease as shorter by this part than its voters count
-    their promises.  Two leases never overlap while every member's clock runs within ``drift`` of real time.
+    ``margin`` covers clock drift: a holder takes its lease to be shorter by this fraction than its voters take
+    their promises to be.  Two leases never overlap while every member's clock runs within ``max_clock_drift``
+    of real time.
     """
 
     lease_ms: float = 400.0
     renew_ms: float = 100.0
     margin: float = 0.1  # 0 to 0.5
-    ballot_ms: float = 150.0  # for the answers to one ballot
-    stagger_ms: float = 40.0  # a candidate of lower rank stands so much later
-    jitter_ms: float = 40.0
-    hello_ms: float = 100.0  # between two signs of life of a member that does not hold
-    suspect_ms: float = 350.0  # a member unheard for so long counts as down
-    moves_most: int = 30  # votes that one voter gives in a minute; 0: any number
-    preempt_ms: float = 0.0  # a holder hands over to a ready member of higher priority after so long; 0: never
+    ballot_ms: float = 150.0  # time-out for the answers to one pre-vote or ballot
+    stagger_ms: float = 40.0  # delay of a candidacy per rank, so that candidates do not compete
+    jitter_ms: float = 40.0  # upper bound of the pseudo-random delay of a candidacy
+    hello_ms: float = 100.0  # interval between heartbeats of a member that does not hold the lease
+    suspect_ms: float = 350.0  # a member that was not heard for this long counts as down
+    moves_most: int = 30  # votes that one voter grants per minute; 0: unlimited
+    preempt_ms: float = 0.0  # after holding this long, hand over to a ready member of higher priority; 0: never
 
     @property
-    def own_lease_ms(self) -> float:
-        """How long a holder believes its lease, from the sending of the round that won it."""
+    def holder_lease_ms(self) -> float:
+        """How long a holder relies on its lease, counted from sending the request that won or renewed it."""
         return self.lease_ms * (1.0 - self.margin)
 
     @property
-    def drift(self) -> float:
-        """The largest error of clock rate that the margin covers: (1-m) <= (1-d)/(1+d)."""
+    def max_clock_drift(self) -> float:
+        """The largest error d of a clock's rate that the margin m covers: 1-m <= (1-d)/(1+d)."""
         return self.margin / (2.0 - self.margin)
 
 
@@ -95,7 +96,7 @@
 
 
 class LeaseChange(NamedTuple):
-    """A lease began or ended at this member; ``why`` is one word for logs."""
+    """A lease began or ended at this member; ``reason`` is a short text for logs."""
 
     gained: bool
     term: int
--- a/gaphub/cluster/witness.py
+++ b/gaphub/cluster/witness.py
@@ -1,7 +1,7 @@
-"""Owns the witness: a voter that serves nothing, so that two instances have a third vote.
+"""The witness: a voter that serves no requests, which gives a cluster of two instances a third vote.
 
-It must never stand.  With a state file it keeps its vote over a restart; without one it abstains until every
-lease that it may have promised is surely over, and recovers the terms from the others.
+It must never become a candidate.  With a state file it keeps its vote over a restart.  Without one it abstains
+until every lease that it may have promised has expired, and recovers the term from the others.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 async def witness(config: WitnessConfig, counters: Counters, stop: asyncio.Event, reload: asyncio.Event) -> None:
-    """Vote until ``stop``; each ``reload`` reads the key ring again."""
+    """Take part in elections until ``stop`` is set; read the key ring again whenever ``reload`` is set."""
     node = Node(config.cluster, counters, lambda _: None)
     admin = AdminSocket(config.admin, counters, {"status": lambda: {"cluster": node.status(),
                                                               "counters": counters.snapshot()}})
@@ -25,10 +25,10 @@
         await admin.open()
         counters.add("ready")
         while not stop.is_set():
-            waits = [asyncio.ensure_future(e.wait()) for e in (stop, reload)]
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-            for each in waits:
-                each.cancel()
+            wait_tasks = [asyncio.ensure_future(event.wait()) for event in (stop, reload)]
+            await asyncio.wait(wait_tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in wait_tasks:
+                task.cancel()
             if reload.is_set():
                 reload.clear()
                 node.reload_keys()
@@ -38,8 +38,8 @@
 
 
 async def run(config: WitnessConfig, counters: Counters) -> None:
-    """Vote until SIGTERM or SIGINT; on SIGHUP read the key ring again."""
+    """Take part in elections until SIGTERM or SIGINT; on SIGHUP read the key ring again."""
     stop, reload = asyncio.Event(), asyncio.Event()
-    for number, asked in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
-        asyncio.get_running_loop().add_signal_handler(number, asked.set)
+    for signal_number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
+        asyncio.get_running_loop().add_signal_handler(signal_number, event.set)
     await witness(config, counters, stop, reload)
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -479,14 +479,14 @@
         nodes = [Node(f, Counters(), lambda move: None) for f in fronts]
         broken = [True]
         for node in nodes:
-            write = node.memory.write
+            write = node.state_file.write
 
-            def fail(memory: Any, write: Any = write) -> None:
+            def fail(state: Any, write: Any = write) -> None:
                 if broken[0]:
                     raise OSError(28, "No space left on device")
-                write(memory)
+                write(state)
 
-            node.memory.write = fail  # type: ignore[method-assign]
+            node.state_file.write = fail  # type: ignore[method-assign]
             broken[0] = False
             await node.open()
             broken[0] = True
