--- a/gaphub/announce/__init__.py
+++ b/gaphub/announce/__init__.py
@@ -1,1 +1,1 @@
-"""How routers learn where the service address is: BGP-4 and BFD."""
+"""Announcement of the service address to routers by BGP-4, with BFD."""
--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -1,7 +1,7 @@
-"""Owns what the routers are told: one host route while this instance holds the service address, nothing else.
+"""Announces the host route of the service address to the routers while this instance holds the lease.
 
-It is told by ``set`` and asks the fence again before each word; it must never announce without the lease, and
-never let one router's state hold up another's.
+``set`` starts and ends the announcement, and the lease is checked again before each UPDATE, so that nothing is
+announced without it.  The session with one router must never delay that with another.
 """
 
 from __future__ import annotations
@@ -18,100 +18,103 @@
 from .speaker import BfdSpeaker, BgpSpeaker
 
 LOCAL_PREF = 100
-MED_MOST = 4_294_967_295
+MAX_MED = 4_294_967_295
 
 
 class Announcer(Protocol):
-    """What makes the service address known."""
+    """Announces the service address."""
 
     def set(self, term: int | None) -> None:
-        """Announce it as held in this term; None: withdraw it.  Never blocks."""
+        """Announce the address as held in this term, or withdraw it if None.  Never blocks."""
 
     def status(self) -> list[dict[str, Any]]:
-        """A line for each router."""
+        """Return the state of each router's sessions."""
 
     async def open(self) -> None:
-        """Begin."""
+        """Start the sessions."""
 
     async def close(self) -> None:
-        """Withdraw, say goodbye and give everything back."""
+        """Withdraw the route, shut the sessions down and end all tasks."""
 
 
-def route(front: AddressConfig, session: Session, term: int) -> Update:
-    """The host route as one session is told it.
+def host_route(address_config: AddressConfig, session: Session, term: int) -> Update:
+    """The host route as announced in one session.
 
-    Of two holders the router must believe the later: within an AS the term raises LOCAL_PREF, towards another
-    AS it lowers MED (RFC 4271, 9.1.1 and 9.1.2.2), which is compared as both routes come from one AS.
+    If two instances announce the address, the router must prefer the later holder.  In an internal session the
+    term therefore raises LOCAL_PREF, in an external one it lowers MED (RFC 4271, 9.1.1 and 9.1.2.2), which routers
+    compare because both routes come from one AS.
     """
-    prefix = f"{front.service}/32"
+    prefix = f"{address_config.service}/32"
     if session.internal:
-        return Update((), (prefix,), 0, (), front.next_hop, None, min(MED_MOST, LOCAL_PREF + term))
-    return Update((), (prefix,), 0, (session.config.asn,), front.next_hop, max(0, MED_MOST - term))
+        return Update((), (prefix,), 0, (), address_config.next_hop, None, min(MAX_MED, LOCAL_PREF + term))
+    return Update((), (prefix,), 0, (session.config.asn,), address_config.next_hop, max(0, MAX_MED - term))
 
 
 class BgpAnnouncer:
-    """A BGP session, and BFD where set, for each neighbour."""
+    """One BGP session per neighbour, each with a BFD session if configured."""
 
-    def __init__(self, front: AddressConfig, bgp: BgpConfig, counters: Counters, clock: Callable[[], float],
-                 holds: Callable[[], bool], seed: int) -> None:
-        self.front = front
+    def __init__(self, address_config: AddressConfig, bgp: BgpConfig, counters: Counters,
+                 clock: Callable[[], float], holds: Callable[[], bool], seed: int) -> None:
+        self.address_config = address_config
         self.counters = counters
         self.holds = holds
         self.term: int | None = None
         self._tasks = Tasks(counters)
-        self.speakers: list[BgpSpeaker] = []
-        self.watchers: list[BfdSpeaker | None] = []
-        draw = random.Random(seed)
-        for i, n in enumerate(bgp.neighbours):
+        self.bgp_speakers: list[BgpSpeaker] = []
+        self.bfd_speakers: list[BfdSpeaker | None] = []
+        rng = random.Random(seed)
+        for i, neighbour in enumerate(bgp.neighbours):
             speaker = BgpSpeaker(
-                parse_address(n.address, f"bgp.neighbours[{i}].address"), bgp.source,
-                SessionConfig(bgp.local_as, bgp.router_id, n.peer_as, bgp.hold_s, bgp.retry_s), counters, clock,
-                self._route)
-            self.speakers.append(speaker)
-            self.watchers.append(BfdSpeaker(
-                parse_address(n.bfd_listen, "bfd_listen"), parse_address(n.bfd, "bfd"), bgp.bfd_ms,
+                parse_address(neighbour.address, f"bgp.neighbours[{i}].address"), bgp.source,
+                SessionConfig(bgp.local_as, bgp.router_id, neighbour.peer_as, bgp.hold_s, bgp.retry_s),
+                counters, clock, self._desired_route)
+            self.bgp_speakers.append(speaker)
+            self.bfd_speakers.append(BfdSpeaker(
+                parse_address(neighbour.bfd_listen, "bfd_listen"), parse_address(neighbour.bfd, "bfd"), bgp.bfd_ms,
                 bgp.bfd_multiplier,
-                counters, clock, lambda up, s=speaker: None if up else s.cease(10),  # type: ignore[misc]
-                draw) if n.bfd else None)
+                counters, clock, lambda up, speaker=speaker: None if up else speaker.cease(10),  # type: ignore[misc]
+                rng) if neighbour.bfd else None)
 
-    def _route(self, session: Session) -> Update | None:
-        """What is to be announced at this moment; the lease is asked again."""
-        return route(self.front, session, self.term) if self.term is not None and (
+    def _desired_route(self, session: Session) -> Update | None:
+        """The route to announce now; the lease is checked again on each call."""
+        return host_route(self.address_config, session, self.term) if self.term is not None and (
             self.lingers or self.holds()) else None
 
-    lingers = False  # whether a route may outlive the lease for a moment: after a hand-over only
+    lingers = False  # whether the route may outlive the lease for a moment; only after a hand-over
 
     def set(self, term: int | None, linger: bool = False) -> None:
-        """Announce, or withdraw; ``linger``: keep what is announced for now, though the lease has ended."""
+        """Announce or withdraw; with ``linger``, keep the announced route although the lease has ended."""
         self.lingers = linger
         self.term = self.term if linger else term
-        for speaker in self.speakers:
-            speaker.poke()
+        for speaker in self.bgp_speakers:
+            speaker.refresh()
 
     def status(self) -> list[dict[str, Any]]:
-        """A line for each router."""
-        return [{"router": f"{s.to[0]}:{s.to[1]}", "bgp": s.session.state.value,
-                 "established": s.session.sessions, "announced": s.said is not None,
-                 "bfd": w.session.state.name.lower() if w is not None else "", "error": s.session.last_error}
-                for s, w in zip(self.speakers, self.watchers, strict=True)]
+        """Return the state of each router's sessions."""
+        return [{"router": f"{speaker.peer_address[0]}:{speaker.peer_address[1]}",
+                 "bgp": speaker.session.state.value, "established": speaker.session.times_established,
+                 "announced": speaker.advertised is not None,
+                 "bfd": bfd_speaker.session.state.name.lower() if bfd_speaker is not None else "",
+                 "error": speaker.session.last_error}
+                for speaker, bfd_speaker in zip(self.bgp_speakers, self.bfd_speakers, strict=True)]
 
     async def open(self) -> None:
-        """Begin."""
-        for speaker in self.speakers:
+        """Start the sessions."""
+        for speaker in self.bgp_speakers:
             self._tasks.start(speaker.run())
-        for watcher in self.watchers:
-            if watcher is not None:
-                self._tasks.start(watcher.run())
+        for bfd_speaker in self.bfd_speakers:
+            if bfd_speaker is not None:
+                self._tasks.start(bfd_speaker.run())
 
     async def close(self) -> None:
-        """Withdraw, say goodbye and give everything back."""
+        """Withdraw the route, shut the sessions down and end all tasks."""
         self.set(None)
-        for watcher in self.watchers:
-            if watcher is not None:
-                watcher.leave()
-        for speaker in self.speakers:
+        for bfd_speaker in self.bfd_speakers:
+            if bfd_speaker is not None:
+                bfd_speaker.shut_down()
+        for speaker in self.bgp_speakers:
             if speaker.session.state is State.ESTABLISHED:
-                await speaker.leave()
+                await speaker.shut_down()
         await self._tasks.close()
 
 
--- a/gaphub/cluster/__init__.py
+++ b/gaphub/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Membership, election and leases: who may hold the service address, and who is believed."""
+"""The cluster: leader election with leases for the service address, and authenticated messages."""
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -1,4 +1,4 @@
-"""The service address at one daemon: the fence on both fronts, announcements, the admin socket, the command."""
+"""The service address: the fence, the speakers, cluster members on sockets, the admin socket and the commands."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 from .scenario import Cast, free_port
 
-LEASE_MS = 1000.0  # longer than a busy machine stands still
+LEASE_MS = 1000.0  # longer than the stalls of a busy machine
 
-# One daemon and one voter beside it: without that voter's vote it holds nothing.
-FRONTS = """
+# A daemon and a witness: without the vote of the witness the daemon cannot hold the lease.
+SETTINGS = """
 [gearman]
 listen = "127.0.0.1:PORT"
 functions = {{ poloha = "poloha", vyuctovani = "vyuctovani" }}
@@ -59,8 +59,8 @@
 """
 
 
-class Pair:
-    """A daemon under a scenario, and the witness that lets it hold."""
+class DaemonAndWitness:
+    """A daemon driven by a scenario, and the witness whose vote it needs to hold the lease."""
 
     def __init__(self, tmp_path: Path, lease_ms: float = LEASE_MS) -> None:
         self.keys = tmp_path / "keys.toml"
@@ -68,12 +68,12 @@
         self.admin = str(tmp_path / "admin.sock")
         self.service = free_port()
         self.ports = free_port(), free_port()
-        self.text = FRONTS.format(a=self.ports[0], b=self.ports[1], keys=self.keys, service=self.service,
+        self.text = SETTINGS.format(a=self.ports[0], b=self.ports[1], keys=self.keys, service=self.service,
                                   admin=self.admin, lease=lease_ms)
         self.cast = Cast(fronts=self.text)
         self.node: Node | None = None
 
-    async def __aenter__(self) -> Pair:
+    async def __aenter__(self) -> DaemonAndWitness:
         await self.cast.__aenter__()
         front = self.cast.config.fronts.cluster
         two = config.ClusterConfig(listen=f"127.0.0.1:{self.ports[1]}", me=2, keys=str(self.keys),
@@ -88,52 +88,52 @@
         await self.cast.__aexit__()
 
     async def holds(self, wanted: bool) -> None:
-        """Wait until the daemon says so."""
+        """Wait until the daemon's status shows whether it holds the lease as wanted."""
         async with asyncio.timeout(5.0):
             while (await self.status())["cluster"]["holds"] != wanted:
                 await asyncio.sleep(0.01)
 
     async def status(self) -> dict[str, Any]:
-        told: dict[str, Any] = await admin.ask(self.admin, "status")
-        return told
+        answer: dict[str, Any] = await admin.ask(self.admin, "status")
+        return answer
 
-    async def lose(self) -> None:
-        """The voter falls silent; the lease runs out."""
+    async def silence_witness(self) -> None:
+        """End the witness and wait until the lease has expired."""
         assert self.node is not None
         await self.node.close()
         await self.holds(False)
 
-    async def visit(self, name: str) -> None:
-        """A client comes by the service address."""
+    async def connect_client(self, name: str) -> None:
+        """Connect a client to the service address."""
         side = await self.cast.side(name)
         side.close()
         side.reader, side.writer = await asyncio.open_connection("127.0.0.1", self.service)
 
 
-def play(tmp_path: Path, *steps: str, lease_ms: float = LEASE_MS) -> None:
-    """Scenario texts, and between them the words of ``Pair``: 'holds', 'lose', 'visit NAME'."""
+def run_steps(tmp_path: Path, *steps: str, lease_ms: float = LEASE_MS) -> None:
+    """Run scenario texts and, between them, the steps 'holds', 'lose' and 'visit NAME' of ``DaemonAndWitness``."""
 
     async def run() -> None:
-        async with Pair(tmp_path, lease_ms) as pair:
+        async with DaemonAndWitness(tmp_path, lease_ms) as daemon:
             for step in steps:
                 word, _, rest = step.partition(" ")
                 if word == "visit":
-                    await pair.visit(rest)
+                    await daemon.connect_client(rest)
                 elif word == "holds":
-                    await pair.holds(True)
+                    await daemon.holds(True)
                 elif word == "lose":
-                    await pair.lose()
+                    await daemon.silence_witness()
                 else:
-                    await pair.cast.play(step)
+                    await daemon.cast.play(step)
 
     asyncio.run(run())
 
 
-JOB = "c send job vyuctovani r1\n"
+SEND_JOB = "c send job vyuctovani r1\n"
 
 
 def test_served_while_it_holds_and_refused_when_not(tmp_path: Path) -> None:
-    play(tmp_path, "holds", "visit c", JOB + """
+    run_steps(tmp_path, "holds", "visit c", SEND_JOB + """
         w expect r1
         w send lines r1 done=one .
         c expect HTTP/1.1 200 .*one
@@ -150,7 +150,7 @@
 
 
 def test_what_is_out_is_answered_once_and_never_sent_again(tmp_path: Path) -> None:
-    play(tmp_path, "holds", "visit c", JOB + "w expect r1", "lose", """
+    run_steps(tmp_path, "holds", "visit c", SEND_JOB + "w expect r1", "lose", """
         w send lines r1 done=one .
         c expect HTTP/1.1 200 .*one
         count calls.sent 1
@@ -159,8 +159,8 @@
 
 def test_what_comes_back_unstarted_after_the_lease_is_refused_not_sent_elsewhere(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "WATCH_MS", 20_000)  # the agent here says nothing until the lease is lost
-    play(tmp_path, "holds", "visit c", "c send job poloha r1\nw expect r1", "lose", """
+    monkeypatch.setattr(destinations, "WATCH_MS", 20_000)  # the agent answers only after the lease is lost
+    run_steps(tmp_path, "holds", "visit c", "c send job poloha r1\nw expect r1", "lose", """
         d send list 42 changes x=active
         w send status 503 X-Not-Processed:1
         c expect HTTP/1.1 503
@@ -170,7 +170,7 @@
 
 
 def test_gearman_submits_need_the_lease_too(tmp_path: Path) -> None:
-    play(tmp_path, """
+    run_steps(tmp_path, """
         g send 7 poloha||x
         g expect #19 not_holder
     """, "holds", """
@@ -182,7 +182,7 @@
 
 
 def test_an_id_that_is_open_at_one_listener_is_refused_at_the_other(tmp_path: Path) -> None:
-    play(tmp_path, "holds", "visit c", JOB + """
+    run_steps(tmp_path, "holds", "visit c", SEND_JOB + """
         w expect r1
         c2 send job vyuctovani r1
         c2 expect HTTP/1.1 409
@@ -193,7 +193,7 @@
 
 
 def test_a_job_that_waits_for_a_grab_is_not_assigned_after_the_lease(tmp_path: Path) -> None:
-    play(tmp_path, "holds", """
+    run_steps(tmp_path, "holds", """
         d expect index=41
         d send list 42 changes w=leaving
         d expect index=42
@@ -212,7 +212,7 @@
 
 
 def test_hand_over_at_sigterm_refuses_at_once_and_answers_what_is_out(tmp_path: Path) -> None:
-    play(tmp_path, "holds", "visit c", "visit c2", JOB + """
+    run_steps(tmp_path, "holds", "visit c", "visit c2", SEND_JOB + """
         w expect r1
         wait 30
         term
@@ -225,8 +225,8 @@
     """)
 
 
-class _Fence:
-    """Holds for so many askings."""
+class CountingFence:
+    """Holds for the given number of checks."""
 
     retry_after_ms = 50.0
 
@@ -238,10 +238,10 @@
         return self.left >= 0
 
 
-# A freeze may come at any of the places where the right is asked; whichever it is, the worker never starts.
+# The process may freeze before any of the fence checks; in each case the worker must not start the job.
 @pytest.mark.parametrize("asked", range(6))
 def test_the_lease_may_end_before_each_step(asked: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    fence = _Fence(asked)
+    fence = CountingFence(asked)
     offered = Core.offer
 
     def offer(core: Core, job: Job) -> bool:
@@ -263,7 +263,7 @@
 
 
 def test_without_its_last_byte_the_worker_has_not_got_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http.exchange, "_raise_if_stopped", _late_fence())
+    monkeypatch.setattr(http.exchange, "_raise_if_stopped", _stop_before_last_byte())
 
     async def run() -> None:
         async with Cast() as cast:
@@ -278,7 +278,7 @@
     asyncio.run(run())
 
 
-def _late_fence() -> Any:
+def _stop_before_last_byte() -> Any:
     asked: list[int] = []
 
     def fence(why: Status | None) -> None:
@@ -289,14 +289,14 @@
     return fence
 
 
-# --- the speakers against a router of this file's own ---------------------------------------------------
+# --- the speakers against a simulated router ---------------------------------------------------
 
 class Router:
-    """Accepts one BGP session at a time and keeps what it is told."""
+    """Accepts one BGP session at a time and records the updates."""
 
     def __init__(self) -> None:
         self.updates: list[bgp.Update] = []
-        self.sessions = 0
+        self.times_established = 0
         self.session = Session(SessionConfig(65000, "10.0.0.9", 65010, passive=True))
         self.writer: asyncio.StreamWriter | None = None
         self.server: asyncio.Server | None = None
@@ -315,9 +315,9 @@
                 data = await reader.read(4096)
                 if not data:
                     break
-                before = self.session.sessions
+                before = self.session.times_established
                 self.session.received(steady_ms(), data)
-                self.sessions += self.session.sessions - before
+                self.times_established += self.session.times_established - before
                 self.updates += self.session.received_updates
                 self.session.received_updates.clear()
         except (OSError, asyncio.CancelledError):
@@ -325,14 +325,14 @@
         finally:
             writer.close()
 
-    def gone(self) -> None:
+    def abort_connection(self) -> None:
         assert self.writer is not None
         self.writer.transport.abort()
 
 
-async def until(true: Any) -> None:
+async def wait_until(condition: Any) -> None:
     async with asyncio.timeout(8.0):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
@@ -347,34 +347,35 @@
         made = announcer.BgpAnnouncer(config.AddressConfig(service="192.0.2.80", next_hop="127.0.0.1"), front,
                                       counters, steady_ms, lambda: holds[0], 1)
         await made.open()
-        await until(lambda: router.sessions == 1)
+        await wait_until(lambda: router.times_established == 1)
         assert router.updates == [], "nothing is announced before the lease"
         made.set(7)
-        await until(lambda: router.updates)
-        router.gone()
-        await until(lambda: len(router.updates) == 2)
+        await wait_until(lambda: router.updates)
+        router.abort_connection()
+        await wait_until(lambda: len(router.updates) == 2)
         assert [u.announced for u in router.updates] == [("192.0.2.80/32",)] * 2
-        holds[0] = False  # by the clock, and nobody has said so yet
-        router.gone()
-        await until(lambda: router.sessions == 3)
+        holds[0] = False  # the lease has expired by the clock, without any event
+        router.abort_connection()
+        await wait_until(lambda: router.times_established == 3)
         await asyncio.sleep(0.05)
         assert len(router.updates) == 2, "without the lease nothing is announced"
         holds[0] = True
         made.set(8)
-        await until(lambda: len(router.updates) == 3)
+        await wait_until(lambda: len(router.updates) == 3)
         made.set(None)
-        await until(lambda: len(router.updates) == 4)
+        await wait_until(lambda: len(router.updates) == 4)
         assert router.updates[3].withdrawn == ("192.0.2.80/32",)
         assert made.status()[0]["bgp"] == "established"
         await made.close()
-        await until(lambda: router.session.drop)  # it said goodbye
+        await wait_until(lambda: router.session.drop)  # the announcer sent Cease
         assert router.server is not None
         router.server.close()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("junk", [b"\0" * 40, bgp.keepalive() + bgp.keepalive(), bgp.notification(6, 2), b"GET /"])
+@pytest.mark.parametrize("junk", [b"\0" * 40, bgp.encode_keepalive() + bgp.encode_keepalive(),
+                                  bgp.encode_notification(6, 2), b"GET /"])
 def test_a_router_that_garbles_costs_its_own_session_only(junk: bytes) -> None:
     async def run() -> None:
         port = free_port()
@@ -389,7 +390,7 @@
         speaker = BgpSpeaker(("127.0.0.1", port), "", SessionConfig(65010, "10.0.0.1", 65000, retry_s=0.01),
                              Counters(), steady_ms, lambda s: None)
         task = asyncio.create_task(speaker.run())
-        await until(lambda: len(seen) >= 2)  # it comes again
+        await wait_until(lambda: len(seen) >= 2)  # the speaker connects again
         assert not task.done()
         task.cancel()
         server.close()
@@ -407,14 +408,14 @@
         a = BfdSpeaker(one, other, 10.0, 3, counters, steady_ms, heard.append, random.Random(1))
         b = BfdSpeaker(other, one, 10.0, 3, Counters(), steady_ms, lambda up: None, random.Random(2))
         tasks = [asyncio.create_task(x.run()) for x in (a, b)]
-        await until(lambda: heard == [True])
+        await wait_until(lambda: heard == [True])
         loop = asyncio.get_running_loop()
         stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, remote_addr=one)
-        stranger.sendto(bfd.Packet(bfd.State.DOWN, 1, a.session.mine, 3, 1, 1).render())
-        await until(lambda: counters.values["garbled.bfd"] == 1)
+        stranger.sendto(bfd.Packet(bfd.State.DOWN, 1, a.session.my_discriminator, 3, 1, 1).encode())
+        await wait_until(lambda: counters.values["garbled.bfd"] == 1)
         assert heard == [True]
         tasks[1].cancel()
-        await until(lambda: heard == [True, False])
+        await wait_until(lambda: heard == [True, False])
         tasks[0].cancel()
         stranger.close()
 
@@ -425,9 +426,9 @@
     assert Session(SessionConfig(1, "10.0.0.1", 2)).state is State.IDLE
 
 
-# --- the member at work ------------------------------------------------------------------------------
+# --- cluster members on sockets ------------------------------------------------------------------------------
 
-def members(count: int, keys: Path, tmp_path: Path, state: bool = True) -> list[config.ClusterConfig]:
+def member_configs(count: int, keys: Path, tmp_path: Path, state: bool = True) -> list[config.ClusterConfig]:
     ports = [free_port() for _ in range(count)]
     entries = [config.MemberConfig(id=i + 1, name=f"n{i + 1}", address=f"127.0.0.1:{p}")
                for i, p in enumerate(ports)]
@@ -441,12 +442,12 @@
     keyring.write(keys, [first])
 
     async def run() -> None:
-        moves: list[LeaseChange] = []
-        nodes = [Node(f, Counters(), moves.append) for f in members(3, keys, tmp_path)]
+        lease_changes: list[LeaseChange] = []
+        nodes = [Node(f, Counters(), lease_changes.append) for f in member_configs(3, keys, tmp_path)]
         for node in nodes:
             await node.open()
             node.set_ready(True)
-        await until(lambda: any(n.holds() for n in nodes))
+        await wait_until(lambda: any(n.holds() for n in nodes))
         second = keyring.new_entry("", False)
         for entries in ([first, second], [keyring.KeyEntry(first.id, first.secret),
                                           keyring.KeyEntry(second.id, second.secret, True)],
@@ -456,13 +457,13 @@
                 node.reload_keys()
                 await asyncio.sleep(0.03)
         await asyncio.sleep(0.5)
-        assert len([m for m in moves if m.gained]) == 1, "rotation has no gap"
+        assert len([m for m in lease_changes if m.gained]) == 1, "rotation must not interrupt the lease"
         keys.write_text("nonsense")
         nodes[0].reload_keys()
         assert nodes[0].counters.values["cluster.keys_not_reloaded"] == 1
         holder = next(n for n in nodes if n.holds())
         holder.hand_over()
-        await until(lambda: any(n.holds() for n in nodes if n is not holder))
+        await wait_until(lambda: any(n.holds() for n in nodes if n is not holder))
         assert not holder.holds()
         for node in nodes:
             await node.close()
@@ -475,8 +476,8 @@
     keyring.write(keys, [keyring.new_entry("", True)])
 
     async def run() -> None:
-        fronts = members(2, keys, tmp_path)
-        nodes = [Node(f, Counters(), lambda move: None) for f in fronts]
+        cluster_configs = member_configs(2, keys, tmp_path)
+        nodes = [Node(f, Counters(), lambda move: None) for f in cluster_configs]
         broken = [True]
         for node in nodes:
             write = node.state_file.write
@@ -491,11 +492,12 @@
             await node.open()
             broken[0] = True
             node.set_ready(True)
-        # One of the two may find its disk full first; it falls silent then, and the other waits to hear from it.
-        await until(lambda: any(n.counters.values["cluster.memory_not_written"] > 2 for n in nodes))
+        # The member whose write fails first sends nothing more, and the other waits for its messages; so only one
+        # of the two is required to fail repeatedly.
+        await wait_until(lambda: any(n.counters.values["cluster.memory_not_written"] > 2 for n in nodes))
         assert not any(n.holds() for n in nodes)
         broken[0] = False  # the disk has room again
-        await until(lambda: any(n.holds() for n in nodes))
+        await wait_until(lambda: any(n.holds() for n in nodes))
         for node in nodes:
             await node.close()
         assert "gaphub-vote 1" in (tmp_path / "vote1").read_text()
@@ -509,18 +511,18 @@
 
     async def run() -> None:
         skew = [0.0]
-        fronts = members(2, keys, tmp_path)
-        moves: list[LeaseChange] = []
-        nodes = [Node(fronts[0], Counters(), moves.append, lambda: steady_ms() + skew[0]),
-                 Node(fronts[1], Counters(), lambda move: None)]
+        cluster_configs = member_configs(2, keys, tmp_path)
+        lease_changes: list[LeaseChange] = []
+        nodes = [Node(cluster_configs[0], Counters(), lease_changes.append, lambda: steady_ms() + skew[0]),
+                 Node(cluster_configs[1], Counters(), lambda move: None)]
         nodes[1].set_ready(False)
         for node in nodes:
             await node.open()
         nodes[0].set_ready(True)
-        await until(nodes[0].holds)
-        skew[0] = 2 * LEASE_MS  # the process was stopped, and nothing has run since
+        await wait_until(nodes[0].holds)
+        skew[0] = 2 * LEASE_MS  # as if the process had been stopped meanwhile
         assert not nodes[0].holds()
-        await until(lambda: any(not m.gained and m.reason == "expired" for m in moves))
+        await wait_until(lambda: any(not m.gained and m.reason == "expired" for m in lease_changes))
         for node in nodes:
             await node.close()
 
@@ -582,7 +584,7 @@
     assert [e.id for e in keyring.read(file).entries] == [two]
 
 
-BAD = """
+INVALID_SETTINGS = """
 [cluster]
 listen = "127.0.0.1:1"
 me = 9
@@ -612,7 +614,7 @@
     keys = tmp_path / "keys.toml"
     keyring.write(keys, [keyring.new_entry("", True)])
     file = tmp_path / "fronts.toml"
-    file.write_text(BAD.format(keys=keys))
+    file.write_text(INVALID_SETTINGS.format(keys=keys))
     found = CliRunner().invoke(gaphub, ["check", str(file)])
     assert found.exit_code == 2
     for key in ("cluster.me", "bgp.router_id", "address.service", "metrics.graphite.every_s"):
@@ -627,12 +629,13 @@
 
 def test_status_shows_the_cluster(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Pair(tmp_path) as pair:
-            await pair.holds(True)
-            told = await asyncio.to_thread(CliRunner().invoke, gaphub, ["status", "--socket", pair.admin])
-            assert "holder n1, term" in told.output
-            assert "w2" in told.output
-            raw = await asyncio.to_thread(CliRunner().invoke, gaphub, ["status", "--socket", pair.admin, "--json"])
+        async with DaemonAndWitness(tmp_path) as daemon:
+            await daemon.holds(True)
+            answer = await asyncio.to_thread(CliRunner().invoke, gaphub, ["status", "--socket", daemon.admin])
+            assert "holder n1, term" in answer.output
+            assert "w2" in answer.output
+            raw = await asyncio.to_thread(CliRunner().invoke, gaphub,
+                                          ["status", "--socket", daemon.admin, "--json"])
             assert json.loads(raw.output)["cluster"]["holds"]
 
     asyncio.run(run())
@@ -644,7 +647,7 @@
     ('name = "w2"', 'name = "n1"', "cluster.members"), ('"192.0.2.80"', '"x"', "address.service"),
     ("id = 2", "id = 1", "cluster.members"), ("stands = false", "stands = 3", "cluster.members")])
 def test_a_faulty_key_is_named(tmp_path: Path, old: str, new: str, key: str) -> None:
-    text = Pair(tmp_path).text.replace("PORT", "1")
+    text = DaemonAndWitness(tmp_path).text.replace("PORT", "1")
     assert config.parse_fronts(text, ["poloha", "vyuctovani"]).cluster.me == 1
     with pytest.raises(config.ConfigError, match=key.replace(".", r"\.")):
         config.parse_fronts(text.replace(old, new), ["poloha", "vyuctovani"])
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""A site of real processes: one fault each, and what must hold whatever the machine's speed."""
+"""Fault injection into a cluster of real processes; the checks hold at any speed of the machine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gaphub.lab import failover, recovery
 from gaphub.lab.site import Site
 
-from .test_address import members, until
+from .test_address import member_configs, wait_until
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "split", "handover"])
@@ -39,10 +39,10 @@
             holder = site.holder()
             assert holder is not None
             site.kill(holder)
-            await until(lambda: site.front.next_hop not in ("", holder.ip))
+            await wait_until(lambda: site.front.next_hop not in ("", holder.ip))
             site.restart(holder)
             await site.settled()
-            witness.kill()  # the witness first, then it comes back with its vote
+            witness.kill()  # the witness dies after the holder and restarts with its persisted vote
             witness.start()
             await site.settled()
             assert site.holder() is not None
@@ -61,8 +61,8 @@
                 site.kill(d)
             for d in site.daemons:
                 site.restart(d)
-            await until(lambda: site.front.next_hop == "")
-            await until(lambda: site.front.next_hop != "")
+            await wait_until(lambda: site.front.next_hop == "")
+            await wait_until(lambda: site.front.next_hop != "")
         finally:
             await site.close()
 
@@ -78,11 +78,11 @@
     async def run() -> None:
         from gaphub.metrics import Counters
 
-        nodes = [node.Node(f, Counters(), lambda move: None) for f in members(3, keys, tmp_path)]
+        nodes = [node.Node(f, Counters(), lambda move: None) for f in member_configs(3, keys, tmp_path)]
         for n in nodes:
             await n.open()
             n.set_ready(True)
-        await until(lambda: any(n.holds() for n in nodes))
+        await wait_until(lambda: any(n.holds() for n in nodes))
         await asyncio.sleep(1.0)
         assert sum(n.counters.values["cluster.gained"] for n in nodes) == 1
         assert sum(n.counters.values["cluster.lost"] for n in nodes) == 0
@@ -111,6 +111,6 @@
     report = asyncio.run(recovery.run(schedulers=4, share=0.75, workers=4, rate=60.0, warm_s=2.0, down_s=0.3,
                                       after_s=4.0, seed=3))
     assert report.killed == 3
-    assert report.twice == 0, "a try of a killed scheduler must not run again under the same id"
-    assert report.served_at_end > 0.9, "the restarted ones serve again"
-    assert report.failed > 0, "the kill was felt: tries to the dead ones failed"
+    assert report.twice == 0, "an attempt of a killed scheduler must not run again under the same id"
+    assert report.served_at_end > 0.9, "the restarted schedulers must serve again"
+    assert report.failed > 0, "attempts at the killed schedulers must have failed"
