--- a/gaphub/gearman/codec.py
+++ b/gaphub/gearman/codec.py
@@ -17,9 +17,9 @@
 
 # For each submit packet: the priority (0 is served first) and whether the client waits for the result.
 SUBMIT_KINDS = {SUBMIT_JOB_HIGH: (0, True), SUBMIT_JOB: (1, True), SUBMIT_JOB_LOW: (2, True),
-           SUBMIT_JOB_HIGH_BG: (0, False), SUBMIT_JOB_BG: (1, False), SUBMIT_JOB_LOW_BG: (2, False),
-           SUBMIT_JOB_SCHED: (1, False), SUBMIT_JOB_EPOCH: (1, False),
-           SUBMIT_REDUCE_JOB: (1, True), SUBMIT_REDUCE_JOB_BG: (1, False)}
+                SUBMIT_JOB_HIGH_BG: (0, False), SUBMIT_JOB_BG: (1, False), SUBMIT_JOB_LOW_BG: (2, False),
+                SUBMIT_JOB_SCHED: (1, False), SUBMIT_JOB_EPOCH: (1, False),
+                SUBMIT_REDUCE_JOB: (1, True), SUBMIT_REDUCE_JOB_BG: (1, False)}
 # The number of arguments of each request packet.
 ARGUMENT_COUNTS = {
     CAN_DO: 1, CANT_DO: 1, RESET_ABILITIES: 0, PRE_SLEEP: 0, GRAB_JOB: 0, GRAB_JOB_UNIQ: 0, GRAB_JOB_ALL: 0,
@@ -28,6 +28,7 @@
     WORK_WARNING: 2, **dict.fromkeys(SUBMIT_KINDS, 3), SUBMIT_JOB_SCHED: 8, SUBMIT_JOB_EPOCH: 4,
     SUBMIT_REDUCE_JOB: 4, SUBMIT_REDUCE_JOB_BG: 4,
 }
+# Updates of a running job, and the kinds under which the core forwards them.
 WORK_UPDATES = {WORK_STATUS: "status", WORK_DATA: "data", WORK_WARNING: "warning", WORK_EXCEPTION: "exception"}
 HEADER = struct.Struct(">4sII")
 REQUEST, RESPONSE = b"\0REQ", b"\0RES"
--- a/gaphub/gearman/queues.py
+++ b/gaphub/gearman/queues.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class QueueLimits:
     """Limits on the queued jobs, by number and by size; with a limit of 0, none may be queued."""
 
     jobs: int = 200_000
@@ -102,8 +102,8 @@
 class Queues:
     """The queued jobs of one scheduler."""
 
-    def __init__(self, bounds: Bounds) -> None:
-        self.bounds = bounds
+    def __init__(self, limits: QueueLimits) -> None:
+        self.limits = limits
         self.bytes = 0
         self.count = 0
         self.refused = 0
@@ -135,11 +135,11 @@
         limit = self._function_limits.get(function, [0] * PRIORITY_COUNT)[priority]
         if limit and counts[priority] + dispatched >= limit:
             return "queue_full"
-        if sum(counts) >= self.bounds.jobs_per_function:
+        if sum(counts) >= self.limits.jobs_per_function:
             return "function_queue_full"
-        if self._counts_by_client.get(client, 0) >= self.bounds.jobs_per_client:
+        if self._counts_by_client.get(client, 0) >= self.limits.jobs_per_client:
             return "client_queue_full"
-        if self.count >= self.bounds.jobs or self.bytes + size + JOB_OVERHEAD_BYTES > self.bounds.total_bytes:
+        if self.count >= self.limits.jobs or self.bytes + size + JOB_OVERHEAD_BYTES > self.limits.total_bytes:
             return "queues_full"
         return ""
 
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -65,7 +65,7 @@
     PacketError,
     split_arguments,
 )
-from ...gearman.queues import Bounds, QueuedJob, Queues
+from ...gearman.queues import QueuedJob, QueueLimits, Queues
 from ...gearman.schedule import Schedule, next_occurrence, parse_epoch
 from ...interface import Effect, ListKind, Status, WorkerState
 from ...messages import Answer, Call, Destination, Fence, FinalStatus, Job, ListedDestination, Outcome
@@ -129,8 +129,8 @@
         self._results = ResultCache(
             self.config.ends_most, self.config.ends_bytes,
             lambda function: not self._is_at_most_once(self.functions.class_of(function) or 0))
-        self.queues = Queues(Bounds(self.config.queue_most, self.config.queue_function_most,
-                                    self.config.queue_client_most, self.config.queue_bytes))
+        self.queues = Queues(QueueLimits(self.config.queue_most, self.config.queue_function_most,
+                                         self.config.queue_client_most, self.config.queue_bytes))
         self.schedule = Schedule(self.config.schedule_most)
         self._dispatched = [0] * len(config.class_names)  # dequeued and not yet answered, by class index
         self._unstarted: Counter[tuple[bytes, int]] = Counter()  # dequeued jobs that no worker has started
@@ -282,7 +282,7 @@
                 async with timeout_after_poll(self.config.idle_s):
                     return await session.reader.readexactly(1)
             except TimeoutError:
-                if session.assignments or session.queue or session.awaited_jobs or session.asleep:
+                if session.assignments or session.queued_calls or session.awaited_jobs or session.asleep:
                     continue
                 if shutdown_if_idle(session.writer.get_extra_info("socket")):
                     self.counters.add("gearman.idle_closed")
@@ -300,8 +300,9 @@
             submission.waiting_clients = [s for s in submission.waiting_clients if s is not session]
             if submission.waiting_clients or submission.background or submission.job is None:
                 continue
-            # A job with a unique that was assigned to a worker goes on: its client may submit it again and join
-            # it.  One that was never assigned did not run: it is dropped_calls, and can be submitted as a new job.
+            # A job with a unique that was assigned to a worker goes on: its client may believe it lost, submit it
+            # again and join it.  One that was never assigned did not run: it is dropped, as nobody waits for it,
+            # and can be submitted as a new job.
             if submission.unique and any(call.written for call in submission.job.calls):
                 self.counters.add("gearman.left_running")
                 continue
@@ -321,7 +322,7 @@
         if session.listed_as is not None:
             self._workers.pop(session.name, None)
             await self._list_worker(session, WorkerState.GONE, 0)
-        queued, session.queue = session.queue, []
+        queued, session.queued_calls = session.queued_calls, []
         for _, _, _, call in queued:
             await self.core.post(partial(self.core.call_ended, call, Outcome(Status.CONNECT_FAILED)))
         for handle in list(session.assignments):
@@ -623,10 +624,10 @@
                 class_mask |= 1 << class_index
         self._workers[session.name] = session
         await self._list_worker(session, WorkerState.READY if class_mask else WorkerState.DRAINING, class_mask)
-        kept_calls = [q for q in session.queue if class_mask >> q[3].job.class_index & 1]
-        dropped_calls = [q for q in session.queue if q not in kept_calls]
-        session.queue = kept_calls
-        heapify(session.queue)
+        kept_calls = [q for q in session.queued_calls if class_mask >> q[3].job.class_index & 1]
+        dropped_calls = [q for q in session.queued_calls if q not in kept_calls]
+        session.queued_calls = kept_calls
+        heapify(session.queued_calls)
         for _, _, _, call in dropped_calls:  # the worker no longer offers their functions: they never ran
             await self.core.post(partial(self.core.call_ended, call, Outcome(Status.FULL)))
 
@@ -641,7 +642,7 @@
         await self.core.post(self._dispatch)
 
     def _wake_worker(self, session: Session) -> None:
-        if session.asleep and session.queue:
+        if session.asleep and session.queued_calls:
             session.asleep = False
             session.send(NOOP)
 
@@ -656,14 +657,15 @@
     async def _grab(self, session: Session, kind: int) -> None:
         session.asleep = False
         await self._end_calls_after_exception(session)
-        while session.queue and (reason := self.core.check_before_last_byte(session.queue[0][3])) is not None:
-            call = heappop(session.queue)[3]  # not permitted any more, or its client left: nothing was written
+        while (session.queued_calls
+               and (reason := self.core.check_before_last_byte(session.queued_calls[0][3])) is not None):
+            call = heappop(session.queued_calls)[3]  # fence lost or client gone: nothing of it was written
             call.finished = True
             await self.core.post(partial(self.core.call_ended, call, Outcome(reason)))
-        if not session.queue:
+        if not session.queued_calls:
             session.send(NO_JOB)
             return
-        _, _, handle, call = heappop(session.queue)
+        _, _, handle, call = heappop(session.queued_calls)
         submission = call.job.front_context if isinstance(call.job.front_context, Submission) else None
         function = self._function_for(session, submission, call.job.class_index)
         limit = session.abilities.get(function, 0.0)
@@ -732,8 +734,8 @@
 
     def _report(self, session: Session) -> tuple[float, ...]:
         """A load report as an HTTP worker would send it; a Gearman worker runs one job at a time."""
-        jobs_held = len(session.queue) + len(session.assignments)
-        values = {"free_slots": float(max(0, 1 - jobs_held)), "queue": float(len(session.queue)),
+        jobs_held = len(session.queued_calls) + len(session.assignments)
+        values = {"free_slots": float(max(0, 1 - jobs_held)), "queue": float(len(session.queued_calls)),
                   "inflight": float(jobs_held), "latency_ms": session.latency_ms}
         return tuple(values.get(f, 0.0) for f in self.core.settings.report_fields)
 
@@ -744,12 +746,12 @@
         session = self._workers.get(call.destination.listed.name)
         if session is None or session.writer.transport.is_closing():
             return Outcome(Status.CONNECT_FAILED)
-        if len(session.queue) >= MAX_QUEUED_CALLS:
+        if len(session.queued_calls) >= MAX_QUEUED_CALLS:
             return Outcome(Status.FULL, report=self._report(session))
         submission = call.job.front_context if isinstance(call.job.front_context, Submission) else None
         self._last_serial += 1
         handle = submission.handle if submission is not None else self._handle_prefix + b"%d" % self._last_serial
-        heappush(session.queue,
+        heappush(session.queued_calls,
                  (submission.priority if submission is not None else 1, self._last_serial, handle, call))
         self._wake_worker(session)
         return None
@@ -759,10 +761,10 @@
         session = self._workers.get(call.destination.listed.name)
         if session is None or call.finished:
             return None  # its outcome is already posted
-        queued = [q for q in session.queue if q[3] is not call]
-        if len(queued) < len(session.queue):
-            session.queue = queued
-            heapify(session.queue)
+        queued = [q for q in session.queued_calls if q[3] is not call]
+        if len(queued) < len(session.queued_calls):
+            session.queued_calls = queued
+            heapify(session.queued_calls)
             call.finished = True
             return Outcome(Status.CANCELLED)
         for assignment in session.assignments.values():
--- a/gaphub/net/gearman/session.py
+++ b/gaphub/net/gearman/session.py
@@ -60,7 +60,7 @@
         self.abilities: dict[bytes, float] = {}
         self.asleep = False
         self.listed_as: tuple[int, int] | None = None  # state and class mask as last told to the core
-        self.queue: list[tuple[int, int, bytes, Call]] = []  # heap: priority, order, handle, call
+        self.queued_calls: list[tuple[int, int, bytes, Call]] = []  # heap: priority, order, handle
         self.assignments: dict[bytes, Assignment] = {}
         # Handles of jobs that WORK_EXCEPTION ended; WORK_FAIL may follow.
         self.ended_by_exception: OrderedDict[bytes, None] = OrderedDict()
--- a/gaphub/net/gearman/text.py
+++ b/gaphub/net/gearman/text.py
@@ -69,8 +69,8 @@
             self.shutdown()
             return b"OK\n"
         if command == "show jobs":
-            return _lines([f"{w.handle.decode('latin-1')}\t{_retries(w)}\t0\t{int(not w.running)}"
-                           for w in self.submissions.values()])
+            return _lines([f"{s.handle.decode('latin-1')}\t{_retries(s)}\t0\t{int(not s.running)}"
+                           for s in self.submissions.values()])
         if command == "show unique" and words[2:] == ["jobs"]:
             return _lines([unique.decode("latin-1") for _, unique in self.by_unique])
         if command == "cancel job" and len(words) == 3:
@@ -84,8 +84,8 @@
         return b"ERR UNKNOWN_COMMAND Unknown+server+command\n"
 
     def _status_lines(self) -> bytes:
-        jobs = Counter(w.function for w in self.submissions.values())
-        running = Counter(w.function for w in self.submissions.values() if w.running)
+        jobs = Counter(s.function for s in self.submissions.values())
+        running = Counter(s.function for s in self.submissions.values() if s.running)
         able_workers = Counter(f for s in self.workers.values() for f in s.abilities)
         return _lines([f"{f.decode('latin-1')}\t{jobs[f]}\t{running[f]}\t{able_workers[f]}"
                        for f in sorted(set(self.functions.all_classes()) | set(jobs))])
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gaphub.gearman.queues import AGEING_INTERVAL, JOB_OVERHEAD_BYTES, Bounds, QueuedJob, Queues
+from gaphub.gearman.queues import AGEING_INTERVAL, JOB_OVERHEAD_BYTES, QueuedJob, QueueLimits, Queues
 
 from .scenario import play
 
@@ -30,7 +30,7 @@
 
 
 def test_priority_first_then_first_come() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     for i, priority in enumerate((2, 1, 0, 1, 0)):
         put(q, i, priority=priority)
     assert dequeue_all(q) == [2, 4, 1, 3, 0]
@@ -38,7 +38,7 @@
 
 
 def test_a_flood_of_one_client_delays_another_by_one_job_a_turn() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     for i in range(100_000):
         put(q, ("flood", i), client="flood")
     for i in range(10):
@@ -49,7 +49,7 @@
 
 
 def test_a_stream_of_high_ones_does_not_starve_a_low_one() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     put(q, "low", priority=2)
     for n in range(AGEING_INTERVAL):
         put(q, n, priority=0)
@@ -61,12 +61,12 @@
     assert n < AGEING_INTERVAL
 
 
-@pytest.mark.parametrize(("bounds", "reason"), [
-    (Bounds(jobs=2), "queues_full"), (Bounds(jobs_per_function=2), "function_queue_full"),
-    (Bounds(jobs_per_client=2), "client_queue_full"),
-    (Bounds(total_bytes=2 * (JOB_OVERHEAD_BYTES + 10)), "queues_full")])
-def test_admission(bounds: Bounds, reason: str) -> None:
-    q = Queues(bounds)
+@pytest.mark.parametrize(("limits", "reason"), [
+    (QueueLimits(jobs=2), "queues_full"), (QueueLimits(jobs_per_function=2), "function_queue_full"),
+    (QueueLimits(jobs_per_client=2), "client_queue_full"),
+    (QueueLimits(total_bytes=2 * (JOB_OVERHEAD_BYTES + 10)), "queues_full")])
+def test_admission(limits: QueueLimits, reason: str) -> None:
+    q = Queues(limits)
     job = put(q, 1)
     put(q, 2)
     assert q.put(3, 0, b"f", 1, 1, 10, 0.0, 1.0) == reason
@@ -77,7 +77,7 @@
 
 
 def test_maxqueue_by_priority() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     q.set_function_limits(b"f", [1, 2, 0])
     put(q, 1, priority=0)
     assert q.put(2, 0, b"f", 1, 0, 1, 0.0, 1.0) == "queue_full"
@@ -90,7 +90,7 @@
 
 
 def test_what_waits_too_long_comes_out_once() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     jobs = [put(q, i, expires_at=float(i)) for i in range(10)]
     q.upgrade(jobs[2], 0, 100.0)  # submitted again by a client that waits longer
     assert [j.item for j in q.pop_expired(4.0)] == [0, 1, 3, 4]
@@ -100,7 +100,7 @@
 
 
 def test_memory_follows_what_waits() -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     for n in range(20_000):
         job = put(q, n, client=n % 7, priority=n % 3)
         if n >= 10:
@@ -116,7 +116,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.q = Queues(Bounds(jobs=30))
+        self.q = Queues(QueueLimits(jobs=30))
         self.jobs: list[QueuedJob] = []
         self.now = 0.0
         self.moved = False  # whether any job changed its priority
@@ -182,7 +182,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2)), min_size=1, max_size=60))
 def test_the_oldest_is_drawn_within_the_bound(jobs: list[tuple[int, int]]) -> None:
-    q = Queues(Bounds())
+    q = Queues(QueueLimits())
     for n, (client, priority) in enumerate(jobs):
         put(q, n, client, priority)
     waits = 0
