--- a/gaphub/cluster/node.py
+++ b/gaphub/cluster/node.py
@@ -20,7 +20,7 @@
 from .election import Election
 from .envelope import DATAGRAM_BYTES, Endpoint
 from .keyring import KeyRing, KeyRingError, read
-from .memory import StateFile
+from .state_file import StateFile
 from .types import ElectionParameters, LeaseChange, Member, Message
 
 MAX_QUEUED_EVENTS = 256  # datagrams beyond this are dropped; the protocol tolerates loss anyway
--- a/tests/test_believed.py
+++ b/tests/test_believed.py
@@ -12,7 +12,7 @@
 from gaphub.cluster import keyring
 from gaphub.cluster.detector import FailureDetector
 from gaphub.cluster.envelope import DATAGRAM_BYTES, Endpoint, Key, OpenedDatagram, ReplayWindow
-from gaphub.cluster.memory import StateFile
+from gaphub.cluster.state_file import StateFile
 from gaphub.cluster.types import Kind, Message, PersistentState
 
 KEY, OTHER = Key("aaaaaaaa", b"1" * 32), Key("bbbbbbbb", b"2" * 32)
