--- a/gaphub/announce/bgp.py
+++ b/gaphub/announce/bgp.py
@@ -174,7 +174,7 @@
 # --- decoding ---------------------------------------------------------------------------------------
 
 class Reader:
-    """Splits a byte stream into messages; ``four_octet`` is the negotiated size of AS numbers."""
+    """Splits a byte stream into messages; ``four_octet`` is set as negotiated by both OPENs."""
 
     def __init__(self) -> None:
         self.four_octet = True
--- a/gaphub/cluster/detector.py
+++ b/gaphub/cluster/detector.py
@@ -9,7 +9,7 @@
 import math
 from collections import deque
 
-MAX_SAMPLES = 50
+MAX_SAMPLES = 50  # latest intervals of the estimate
 MAX_PHI = 99.0
 
 
--- a/gaphub/cluster/election.py
+++ b/gaphub/cluster/election.py
@@ -29,7 +29,7 @@
 
 MAX_TERM_JUMP = 1_000_000  # messages with a term further ahead than this are rejected, whoever sent them
 MAX_PENDING_RENEWALS = 8  # latest renewals whose answers still count
-NEVER = -1e18
+NEVER = -1e18  # ms, earlier than any time: the timer does not run, the event has not happened
 
 
 class Role(IntEnum):
--- a/gaphub/cluster/types.py
+++ b/gaphub/cluster/types.py
@@ -44,7 +44,7 @@
 
 
 class PersistentState(NamedTuple):
-    """The state that a voter must not lose: written to disk before any message that depends on it is sent."""
+    """What a voter must not lose: written to disk before any message that depends on it is sent."""
 
     term: int = 0
     voted_for: int = 0
@@ -57,7 +57,7 @@
     id: int  # 1 to 255
     name: str
     votes: bool = True
-    stands: bool = True  # whether it may become a candidate; False for a witness, which must never hold the lease
+    stands: bool = True  # may become a candidate; False for a witness, or if it must never hold the lease
     priority: int = 100  # 0 to 255; members of higher priority become candidates first
 
 
--- a/tests/test_announce.py
+++ b/tests/test_announce.py
@@ -110,8 +110,8 @@
        st.lists(st.integers(1, 2**32 - 1), max_size=90), st.integers(0, 2**32 - 1), st.booleans())
 def test_what_is_written_is_read(withdrawn: list[str], new: list[str], path: list[int], pref: int,
                                   four: bool) -> None:
-    said = bgp.Update(tuple(withdrawn), tuple(new), 2, tuple(path), "10.1.2.3", None, pref)
-    assert read(bgp.encode_update(said, four), four) == [said]
+    update = bgp.Update(tuple(withdrawn), tuple(new), 2, tuple(path), "10.1.2.3", None, pref)
+    assert read(bgp.encode_update(update, four), four) == [update]
 
 
 # --- cross-check with scapy ---------------------------------------------------------------------------
@@ -123,9 +123,9 @@
     assert (decoded[layers.BGPOpen].my_as, decoded[layers.BGPOpen].hold_time) == (23456, 9)
     assert decoded[layers.BGPOpen].bgp_id == "10.0.0.1"
     assert "4200000000" in repr(decoded)
-    seen = layers.BGP(bgp.encode_update(ROUTE))[layers.BGPUpdate]
-    assert [n.prefix for n in seen.nlri] == ["192.0.2.80/32"]
-    kinds = {a.type_code: a.attribute for a in seen.path_attr}
+    decoded_update = layers.BGP(bgp.encode_update(ROUTE))[layers.BGPUpdate]
+    assert [n.prefix for n in decoded_update.nlri] == ["192.0.2.80/32"]
+    kinds = {a.type_code: a.attribute for a in decoded_update.path_attr}
     assert kinds[3].next_hop == "10.0.0.1"
     assert kinds[2].segments[0].segment_value == [65010]
     assert kinds[4].med == 4294967290
