--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -1,12 +1,13 @@
-"""Owns the sharded exchange: each worker's counts go to one aggregator, which tells the sums to all.
+"""The sharded exchange: counts of a worker go to one scheduler, its aggregator, which sends the sums to all.
 
-Pure: no I/O, no clock, no randomness.  It sends nothing in answer to a datagram and never more than its budget; it
-never names a worker that was not listed, and never raises on what comes in.
+No I/O, no clock, no randomness.  It sends nothing in reply to a datagram and never more than its budget, reports
+nothing about a worker that was never listed, and raises nothing on received data.
 
-Every scheduler sends every other one datagram a round, spread over the round: its report to that peer, and sums of
-workers that it aggregates.  See docs/design/occupancy-at-size.md for what is promised.
+In each round, every scheduler sends every other one a datagram, or more if the entries need them: its report to
+that peer, and sums of workers that it aggregates.  The peers' turns are spread evenly over the round.
+docs/design/occupancy-at-size.md states the guarantees.
 
-The methods are those of the exchange all to all, and ``listed`` and ``unlisted``: workers need their names here.
+The methods are those of ``OccupancyExchange``, and ``add_worker`` and ``remove_worker``: workers need names here.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 
 from .aggregator import NEVER, Aggregator
 from .assignment import Assignment
-from .budget import Limits, Plan, SumOrder, TokenBucket, plan
-from .exchange import NO_NEWS, Outgoing, Received
-from .identity import Identities, Renamed
+from .budget import Limits, Plan, SumOrder, TokenBucket, make_plan
+from .exchange import NOTHING_RECEIVED, Outgoing, Received
+from .identity import IdChange, Identities
 from .reports import PeerReports
 from .sums import Sum, Sums
 from .sums_messages import (
@@ -33,123 +34,123 @@
     MessageError,
     decode,
     encode,
-    is_wide,
-    room,
+    entry_capacity,
+    needs_wide_entries,
 )
 
-WAKE_MS = 100.0  # at the shortest between two wake-ups
-REVIEWS = 4  # in a round: who is silent, how old the sums are
-ENOUGH = 3  # members that must be heard for sums to be used, where there are so many, and
-ENOUGH_PART = 8  # one more for each so many: in a large fleet some are always down
-FRESH_PART = 0.9  # of the listed workers must have a sum within the age bound
+MIN_WAKEUP_INTERVAL_MS = 100.0  # shortest time between two wakeups
+REVIEWS_PER_ROUND = 4  # checks of silent members and of the age of sums
+QUORUM_BASE = 3  # members, if there are as many, that must be heard for the sums to be used,
+PEERS_PER_QUORUM_MEMBER = 8  # and one more per this many: in a large fleet some are always down
+FRESH_FRACTION_MIN = 0.9  # of the listed workers, whose sums must be within the age bound
 
 
-class Drop(Enum):
-    """Why something that came in was not used."""
+class DropReason(Enum):
+    """Why received data was not used."""
 
-    STRANGER = "from nobody who is a member"
-    UNREADABLE = "of another format, or garbled"
-    LATE = "doubled, overtaken, or of an earlier life; what still holds of it is used"
-    UNLISTED = "a sum of a worker that is not listed"
-    GAP = "a report that builds on one that was lost"
-    UNPROVEN = "sums of unknown age"
-    DISAGREES = "sums by a view in which somebody is dead who is heard here"
+    STRANGER = "sender is not a member"
+    UNREADABLE = "unknown format, or malformed"
+    LATE = "duplicate, overtaken or of an earlier epoch; what is still valid in it is used"
+    UNLISTED = "sum of a worker that is not listed"
+    GAP = "report that builds on a lost one"
+    UNPROVEN = "sums of unknown age, as the echo proves none"
+    DISAGREES = "sums of a sender that considers a member dead which is heard here"
 
 
 @dataclass(slots=True)
 class _Peer:
-    """What is known of another member."""
+    """The state of another member."""
 
     heard_at: float
     reports: PeerReports = field(default_factory=PeerReports)
-    epoch: int | None = None  # of its present life; None: it was never heard
-    number: int = 0  # of its last datagram
+    epoch: int | None = None  # of its present process; None: never heard
+    number: int = 0  # of its newest datagram
 
 
 class ShardedExchange:
-    """One scheduler's part in the exchange."""
+    """One scheduler in the exchange."""
 
     def __init__(self, now: float, me: int, members: Iterable[int], epoch: int,
                  limits: Limits | None = None) -> None:
-        """``epoch``: of this process life, higher than of the one before; 1 to 2**32 - 1."""
+        """``epoch``: of this process, higher than that of the one before it; 1 to 2**32 - 1."""
         self.me = me
         self.epoch = epoch
         self.limits = limits or Limits()
-        self.dropped: Counter[Drop] = Counter()
+        self.dropped: Counter[DropReason] = Counter()
         self.sent_bytes = self.sent_datagrams = 0
         self._assignment = Assignment({me, *members})
         others = [m for m in self._assignment.members if m != me]
         self._peers = {m: _Peer(now) for m in others}
-        self._order = [*others[me % max(1, len(others)):], *others[:me % max(1, len(others))]]
+        self._peer_order = [*others[me % max(1, len(others)):], *others[:me % max(1, len(others))]]
         self._identities = Identities()
         self._aggregator = Aggregator(me, others)
         self._sums = Sums()
         self._sum_order = SumOrder()
-        self._slots: dict[int, float] = {}  # own slots out, by the worker's number
-        self._counts: dict[int, int] = {}  # the same, rounded up, by id
-        self._leaving: set[int] = set()  # numbers that are not listed, with slots out
-        self._dead = DeadSet.of(frozenset())
+        self._slots: dict[int, float] = {}  # own slots out, by worker number
+        self._counts: dict[int, int] = {}  # the same, rounded up, by wire id
+        self._delisted: set[int] = set()  # numbers of workers no longer listed that still have own slots out
+        self._dead_set = DeadSet.of(frozenset())
         self._bucket = TokenBucket(now, self.limits.bytes_per_s)
-        self._body: list[tuple[int, float]] = []  # the workers whose sums are told in this round, and of when
-        self._next = 0  # place in the order of peers
+        self._round_sums: list[tuple[int, float]] = []  # ids whose sums this round sends, with as-of times
+        self._next_peer = 0  # index into ``_peer_order``
         self._round_at = self._reviewed_at = now
-        self._reported = 0  # counts told in reports in this round
-        self._fresh_at = NEVER
-        self._fresh = False
+        self._entries_reported = 0  # counts reported in this round, to all peers
+        self._complete_checked_at = NEVER
+        self._complete = False
         self.plan = self._plan(0.0, 0.0)
-        self._wakeup: float | None = now + WAKE_MS  # wanted, and not yet handed out
+        self._wakeup: float | None = now + MIN_WAKEUP_INTERVAL_MS  # not yet returned by ``take_wakeup``
 
     # Workers
 
-    def listed(self, now: float, worker_id: int, name: str) -> None:
-        """A list names a worker; ``name`` tells it apart in all processes, its number only in this one."""
-        self._leaving.discard(worker_id)
-        before = self._identities.id_of(worker_id) if worker_id in self._identities else None
-        renamed = self._identities.add(worker_id, name)
+    def add_worker(self, now: float, worker_id: int, name: str) -> None:
+        """Add a listed worker; ``name`` identifies it in all processes, ``worker_id`` only in this one."""
+        self._delisted.discard(worker_id)
+        old_id = self._identities.id_of(worker_id) if worker_id in self._identities else None
+        id_changes = self._identities.add(worker_id, name)
         wire_id = self._identities.id_of(worker_id)
-        if before not in (None, wire_id):
-            renamed = [Renamed(worker_id, before, wire_id), *renamed]
-        self._rename(renamed)
-        self._follow(wire_id)
+        if old_id not in (None, wire_id):
+            id_changes = [IdChange(worker_id, old_id, wire_id), *id_changes]
+        self._apply_id_changes(id_changes)
+        self._track_id(wire_id)
         self._recount(wire_id)
 
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
-        """Follow the list; only what has changed since the last one costs work for each worker."""
+        """Take a complete worker list; costly work is done only for the workers that changed."""
         known = self._identities.numbers()
         for worker_id in known - slots_out.keys():
-            self.unlisted(now, worker_id)
-        for worker_id in slots_out.keys() - (known - self._leaving):
-            self.listed(now, worker_id, str(identities.get(worker_id, worker_id)))
+            self.remove_worker(now, worker_id)
+        for worker_id in slots_out.keys() - (known - self._delisted):
+            self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
         for worker_id, slots in slots_out.items():
             if slots != self._slots.get(worker_id, 0.0):
-                self.changed(now, worker_id, slots, False)
+                self.record_change(now, worker_id, slots, False)
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
                        gone: Iterable[int]) -> None:
-        """Follow a list of changes."""
+        """Take the changes of the worker list."""
         for worker_id in gone:
-            self.unlisted(now, worker_id)
+            self.remove_worker(now, worker_id)
         for worker_id, slots in slots_out.items():
-            if worker_id not in self._identities or worker_id in self._leaving:
-                self.listed(now, worker_id, str(identities.get(worker_id, worker_id)))
+            if worker_id not in self._identities or worker_id in self._delisted:
+                self.add_worker(now, worker_id, str(identities.get(worker_id, worker_id)))
             if slots != self._slots.get(worker_id, 0.0):
-                self.changed(now, worker_id, slots, False)
+                self.record_change(now, worker_id, slots, False)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Nothing: slots of kinds of workers are not told in this format."""
+        """Send nothing: this format does not carry the slots of kinds."""
         return ()
 
-    def unlisted(self, now: float, worker_id: int) -> None:
-        """A worker is listed no more; what is out at it is still reported."""
+    def remove_worker(self, now: float, worker_id: int) -> None:
+        """Remove a worker that is no longer listed; while own slots are out there, they are still reported."""
         if worker_id not in self._identities:
             return
         if self._slots.get(worker_id):
-            self._leaving.add(worker_id)
+            self._delisted.add(worker_id)
         else:
-            self._forget(worker_id)
+            self._forget_worker(worker_id)
 
-    def changed(self, now: float, worker_id: int, slots_out: float, more: bool) -> Sequence[Outgoing]:
-        """The own slots out at a worker have changed; nothing is told before the next round."""
+    def record_change(self, now: float, worker_id: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
+        """Record a change of the own slots out at a worker; nothing is sent before the next round."""
         if worker_id not in self._identities:
             return ()
         if slots_out > 0.0:
@@ -157,38 +158,38 @@
         else:
             self._slots.pop(worker_id, None)
         self._recount(self._identities.id_of(worker_id))
-        if slots_out <= 0.0 and worker_id in self._leaving:
-            self._leaving.discard(worker_id)
-            self._forget(worker_id)
+        if slots_out <= 0.0 and worker_id in self._delisted:
+            self._delisted.discard(worker_id)
+            self._forget_worker(worker_id)
         return ()
 
-    def _forget(self, worker_id: int) -> None:
+    def _forget_worker(self, worker_id: int) -> None:
         wire_id = self._identities.id_of(worker_id)
-        renamed = self._identities.remove(worker_id)
+        id_changes = self._identities.remove(worker_id)
         self._recount(wire_id)
         if not self._identities.numbers_of(wire_id):
-            self._drop(wire_id)
-        self._rename(renamed)
-
-    def _rename(self, renamed: list[Renamed]) -> None:
-        for _, before, after in renamed:
-            self._recount(before)
-            if not self._identities.numbers_of(before):
-                self._drop(before)
-            self._follow(after)
-            self._recount(after)
-
-    def _follow(self, wire_id: int) -> None:
+            self._untrack_id(wire_id)
+        self._apply_id_changes(id_changes)
+
+    def _apply_id_changes(self, id_changes: list[IdChange]) -> None:
+        for _, old_id, new_id in id_changes:
+            self._recount(old_id)
+            if not self._identities.numbers_of(old_id):
+                self._untrack_id(old_id)
+            self._track_id(new_id)
+            self._recount(new_id)
+
+    def _track_id(self, wire_id: int) -> None:
         self._assignment.add(wire_id)
-        self._aggregator.list_worker(wire_id)
+        self._aggregator.add_worker(wire_id)
 
-    def _drop(self, wire_id: int) -> None:
+    def _untrack_id(self, wire_id: int) -> None:
         self._assignment.remove(wire_id)
-        self._aggregator.unlist_worker(wire_id)
-        self._sums.forget(wire_id)
+        self._aggregator.remove_worker(wire_id)
+        self._sums.remove(wire_id)
 
     def _recount(self, wire_id: int) -> None:
-        """Find the own count of an id anew, and note whom it must be told."""
+        """Compute the own count of an id, and if it changed, mark it in the reports to its targets."""
         slots = 0.0
         for number in self._identities.numbers_of(wire_id):
             slots += self._slots.get(number, 0.0)
@@ -204,266 +205,278 @@
             self._peers[member].reports.mark(wire_id)
 
     def _targets(self, wire_id: int) -> list[int]:
-        """Who must be told of a worker: its owner, and the suspects that would own it."""
+        """The members that counts of a worker are reported to: its owner, and dead ones that outscore it."""
         owner = self._assignment.owner.get(wire_id)
         if owner is None:
             return []
-        return [m for m in (owner, *self._assignment.above(wire_id)) if m != self.me]
+        return [m for m in (owner, *self._assignment.dead_above(wire_id)) if m != self.me]
 
     # What is known
 
-    def out(self, worker_id: int) -> int:
-        """The slots that the others have out at a worker; 0 where nothing is known."""
+    def peer_slots(self, worker_id: int) -> int:
+        """The slots that all peers together have out at a worker; 0 if unknown."""
         if worker_id not in self._identities:
             return 0
-        return self._best(self._identities.id_of(worker_id)).others
+        return self._newest_sum(self._identities.id_of(worker_id)).peer_slots
 
     @property
-    def heard_part(self) -> float:
-        """0: sums are of earlier moments."""
+    def heard_share(self) -> float:
+        """0, as sums describe earlier moments."""
         return 0.0
 
     def age(self, now: float, worker_id: int) -> float:
-        """How old ``out`` is, in ms: it holds all that was out then and still is; inf: nothing is known."""
+        """The age of ``peer_slots`` in ms: it includes all that was out then and still is; inf if unknown."""
         if worker_id not in self._identities:
             return inf
-        as_of = self._best(self._identities.id_of(worker_id), now).as_of
+        as_of = self._newest_sum(self._identities.id_of(worker_id), now).as_of
         return now - as_of if as_of > NEVER else inf
 
     def fresh(self, now: float, worker_id: int) -> bool:
-        """Whether ``out`` is within the age bound."""
+        """Whether ``peer_slots`` is within the age bound."""
         return self.age(now, worker_id) <= self.plan.age_bound_ms
 
-    def life_of(self, member: int) -> int | None:
-        """The epoch of a member's life that was heard last; None: it was never heard."""
+    def epoch_of(self, member: int) -> int | None:
+        """The epoch last heard of a member; None if it was never heard."""
         peer = self._peers.get(member)
         return None if peer is None else peer.epoch
 
     def heard_at(self, member: int) -> float:
-        """When a member last gave a sign of life in this format; long ago: it never did."""
+        """When a member was last heard in this format; NEVER if it was not."""
         peer = self._peers.get(member)
         return NEVER if peer is None or peer.epoch is None else peer.heard_at
 
-    def complete(self, now: float, others_heard: int = 0) -> bool:
-        """Whether enough members are heard and most sums are within the age bound; found once a round.
+    def complete(self, now: float, heard_otherwise: int = 0) -> bool:
+        """Whether enough members are heard and most sums are within the age bound; computed once a round.
 
-        ``others_heard``: members that are heard in another way alone.
+        ``heard_otherwise``: the number of members that are heard in another format only.
         """
-        if now - self._fresh_at >= self.plan.round_ms:
-            self._fresh_at, self._fresh = now, self._enough(now, others_heard)
-        return self._fresh
+        if now - self._complete_checked_at >= self.plan.round_ms:
+            self._complete_checked_at, self._complete = now, self._check_complete(now, heard_otherwise)
+        return self._complete
 
-    def speaks(self) -> frozenset[int]:
-        """The other members that are heard in this format."""
+    def heard_members(self) -> frozenset[int]:
+        """The other members that are heard in this format and not considered dead."""
         dead = self._assignment.dead
         return frozenset(m for m, peer in self._peers.items() if peer.epoch is not None and m not in dead)
 
-    def refused_reports(self) -> int:
-        """Entries of reports that were dropped, as their workers were not listed."""
+    def refused_entries(self) -> int:
+        """The number of report entries dropped because their workers were not listed."""
         return self._aggregator.refused
 
-    def figures(self) -> Counter[str]:
-        """What was sent and dropped so far."""
-        figures = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in Drop})
-        figures["dropped.refused"] = self.refused_reports()
-        figures["sent"] = self.sent_datagrams
-        figures["sent_bytes"] = self.sent_bytes
-        return figures
+    def counters(self) -> Counter[str]:
+        """Counters of what was sent and dropped."""
+        counters = Counter({f"dropped.{drop.name.lower()}": self.dropped[drop] for drop in DropReason})
+        counters["dropped.refused"] = self.refused_entries()
+        counters["sent"] = self.sent_datagrams
+        counters["sent_bytes"] = self.sent_bytes
+        return counters
 
-    def _enough(self, now: float, others_heard: int) -> bool:
+    def _check_complete(self, now: float, heard_otherwise: int) -> bool:
         others = len(self._peers)
-        if len(self.speaks()) + others_heard < min(others, ENOUGH + others // ENOUGH_PART):
+        if len(self.heard_members()) + heard_otherwise < min(
+                others, QUORUM_BASE + others // PEERS_PER_QUORUM_MEMBER):
             return False
         since = now - self.plan.age_bound_ms
-        told, shard = self._sums, self._assignment.shards[self.me]
-        aggregated = sum(told.get(w).as_of < since <= self._as_of(now, w) for w in shard)
-        return told.count_since(since) + aggregated >= FRESH_PART * len(self._assignment.owner)
+        sums, shard = self._sums, self._assignment.shards[self.me]
+        aggregated = sum(sums.get(w).as_of < since <= self._own_sum_as_of(now, w) for w in shard)
+        return sums.count_since(since) + aggregated >= FRESH_FRACTION_MIN * len(self._assignment.owner)
 
-    def _best(self, wire_id: int, now: float = inf) -> Sum:
-        """The newest sum: what was told, or what is aggregated here."""
-        told = self._sums.get(wire_id)
+    def _newest_sum(self, wire_id: int, now: float = inf) -> Sum:
+        """The newer of the received sum and, for workers owned here, the one aggregated here."""
+        received = self._sums.get(wire_id)
         if self._assignment.owner.get(wire_id) != self.me:
-            return told
-        as_of = self._as_of(now if now < inf else self._reviewed_at, wire_id)
-        return told if told.as_of > as_of else Sum(self._aggregator.others(wire_id, self.me), as_of)
+            return received
+        as_of = self._own_sum_as_of(now if now < inf else self._reviewed_at, wire_id)
+        return received if received.as_of > as_of else Sum(self._aggregator.total_except(wire_id, self.me), as_of)
 
-    def _as_of(self, now: float, wire_id: int) -> float:
-        return self._aggregator.as_of(now, wire_id, self._assignment.above(wire_id), self._dead)
+    def _own_sum_as_of(self, now: float, wire_id: int) -> float:
+        return self._aggregator.as_of(now, wire_id, self._assignment.dead_above(wire_id), self._dead_set)
 
     # Sending
 
     def take_wakeup(self) -> float | None:
-        """A moment for ``on_wakeup`` that was not handed out before; None: no further one."""
+        """Return a time for ``on_wakeup`` that was not returned before, or None."""
         wakeup, self._wakeup = self._wakeup, None
         return wakeup
 
     def on_wakeup(self, now: float, due: float, random: Callable[[], float]) -> Sequence[Outgoing]:
-        """Send what is due: the moment ``due``, of ``take_wakeup``, has come."""
+        """Send what is due; ``due`` is the time that ``take_wakeup`` returned."""
         outgoing: list[Outgoing] = []
         self._review(now)
-        while self._next < self._due(now) and self._bucket.allows(now):
-            outgoing += self._tell(now, self._order[self._next])
-            self._next += 1
-        if self._next >= len(self._order) and now - self._round_at >= self.plan.round_ms:
+        while self._next_peer < self._peers_due(now) and self._bucket.allows(now):
+            outgoing += self._send_round_to(now, self._peer_order[self._next_peer])
+            self._next_peer += 1
+        if self._next_peer >= len(self._peer_order) and now - self._round_at >= self.plan.round_ms:
             self._begin_round(now)
-        self._wakeup = now + max(WAKE_MS, self.plan.round_ms / max(1, len(self._order)))
+        self._wakeup = now + max(MIN_WAKEUP_INTERVAL_MS, self.plan.round_ms / max(1, len(self._peer_order)))
         return outgoing
 
-    def _due(self, now: float) -> int:
-        """How many peers are to have been told by now in this round."""
-        part = (now - self._round_at) / self.plan.round_ms
-        return min(len(self._order), ceil(part * len(self._order)))
+    def _peers_due(self, now: float) -> int:
+        """The number of peers that this round should have sent to by now."""
+        elapsed_fraction = (now - self._round_at) / self.plan.round_ms
+        return min(len(self._peer_order), ceil(elapsed_fraction * len(self._peer_order)))
 
     def _begin_round(self, now: float) -> None:
         took_ms = now - self._round_at
-        self.plan = self._plan(took_ms, self._reported / max(1, len(self._order)))
+        self.plan = self._plan(took_ms, self._entries_reported / max(1, len(self._peer_order)))
         self._round_at = now
-        self._next = self._reported = 0
-        self._aggregator.refresh()
+        self._next_peer = self._entries_reported = 0
+        self._aggregator.invalidate_ages()
         since = now - self.plan.age_bound_ms
-        shard = [w for w in self._assignment.shards[self.me] if self._as_of(now, w) >= since]
-        self._date(now, self._sum_order.choose(self.plan.sums, shard, self._aggregator.total))
+        shard = [w for w in self._assignment.shards[self.me] if self._own_sum_as_of(now, w) >= since]
+        self._set_round_sums(now, self._sum_order.choose(self.plan.sums, shard, self._aggregator.total))
 
-    def _date(self, now: float, wire_ids: Iterable[int]) -> None:
-        """Note of when the sums of this round are; those of like age go together, as datagrams tell the oldest."""
-        dated = [(self._as_of(now, w), w) for w in wire_ids]
-        self._body = [(w, as_of) for as_of, w in sorted(dated) if as_of > NEVER]
+    def _set_round_sums(self, now: float, wire_ids: Iterable[int]) -> None:
+        """Set the sums of this round and their as-of times.
+
+        Sorted by age, so that a datagram, which states only its oldest age, holds sums of similar age.
+        """
+        dated = [(self._own_sum_as_of(now, w), w) for w in wire_ids]
+        self._round_sums = [(w, as_of) for as_of, w in sorted(dated) if as_of > NEVER]
 
     def _plan(self, last_round_ms: float, report_entries: float) -> Plan:
         shards = self._assignment.shards
         largest = max(len(shard) for shard in shards.values())
-        return plan(self.limits, len(self._order), len(shards[self.me]), largest, report_entries, last_round_ms)
+        return make_plan(self.limits, len(self._peer_order), len(shards[self.me]), largest, report_entries,
+                         last_round_ms)
 
-    def _tell(self, now: float, member: int) -> list[Outgoing]:
-        """The datagrams of a round to a peer."""
+    def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
+        """Build the datagrams of this round for a peer."""
         self._peers[member].reports.begin_round()
-        sums = [] if member in self._assignment.dead else list(self._body)
-        left = self.plan.reports
+        sums = [] if member in self._assignment.dead else list(self._round_sums)
+        remaining = self.plan.reports
         outgoing = []
         while True:
-            data, reported, more = self._datagram(now, member, left, sums)
+            data, reported, more = self._datagram(now, member, remaining, sums)
             outgoing.append(Outgoing(member, data))
-            left -= reported
-            self._reported += reported
+            remaining -= reported
+            self._entries_reported += reported
             self._bucket.spend(len(data))
             self.sent_bytes += len(data)
             self.sent_datagrams += 1
-            if not sums and (left <= 0 or not more):
+            if not sums and (remaining <= 0 or not more):
                 return outgoing
 
-    def _datagram(self, now: float, member: int, most: int,
+    def _datagram(self, now: float, member: int, limit: int,
                   sums: list[tuple[int, float]]) -> tuple[bytes, int, bool]:
-        """The next datagram to a peer, how many counts it reports, and whether there are more; takes its sums."""
+        """Build the next datagram to a peer, and remove the sums that it holds from ``sums``.
+
+        Returns the datagram, how many counts it reports, at most ``limit``, and whether more are pending.
+        """
         peer = self._peers[member]
-        wide = room(self._dead, True)
-        fit = max(0, min(most, REPORT_ENTRIES_MAX, wide))
-        unsent = peer.reports.unsent(fit + 1)
-        more = len(unsent) > fit
-        report = {w: self._counts.get(w, 0) for w in unsent[:fit]}
-        entries = room(self._dead, False) - len(report)
-        taken, rest = sums[:entries], sums[entries:]
-        told = self._told(member, taken)
-        if len(report) + len(told) > wide and any(map(is_wide, chain(report.values(), told.values()))):
+        wide = entry_capacity(self._dead_set, True)
+        capacity = max(0, min(limit, REPORT_ENTRIES_MAX, wide))
+        unsent = peer.reports.unsent(capacity + 1)
+        more = len(unsent) > capacity
+        report = {w: self._counts.get(w, 0) for w in unsent[:capacity]}
+        entries = entry_capacity(self._dead_set, False) - len(report)
+        sendable, unsent_sums = sums[:entries], sums[entries:]
+        sums_entries = self._sums_for(member, sendable)
+        if len(report) + len(sums_entries) > wide and any(
+                map(needs_wide_entries, chain(report.values(), sums_entries.values()))):
             entries = wide - len(report)
-            taken, rest = sums[:entries], sums[entries:]
-            told = self._told(member, taken)
-        sums[:] = rest
-        oldest = taken[0][1] if taken else now
+            sendable, unsent_sums = sums[:entries], sums[entries:]
+            sums_entries = self._sums_for(member, sendable)
+        sums[:] = unsent_sums
+        oldest = sendable[0][1] if sendable else now
         base = peer.reports.base
-        peer.reports.sent(now, report)
+        peer.reports.record_sent(now, report)
         message = Message(self.epoch, peer.reports.number, base, more, peer.epoch or 0,
-                          self._aggregator.applied(member), now - oldest, self._dead, report, told)
+                          self._aggregator.applied(member), now - oldest, self._dead_set, report, sums_entries)
         return encode(message), len(report), more
 
-    def _told(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
-        """What a peer is told of some workers, if they still are this member's to aggregate."""
-        owner, others = self._assignment.owner, self._aggregator.others
-        return {w: min(COUNT_MAX, others(w, member)) for w, _ in sums if owner.get(w) == self.me}
+    def _sums_for(self, member: int, sums: list[tuple[int, float]]) -> dict[int, int]:
+        """The sums for a peer, of those workers that are still aggregated here."""
+        owner, total_except = self._assignment.owner, self._aggregator.total_except
+        return {w: min(COUNT_MAX, total_except(w, member)) for w, _ in sums if owner.get(w) == self.me}
 
     # Receiving
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
                    random: Callable[[], float]) -> Received:
-        """Take a datagram; nothing is ever sent in answer."""
+        """Handle a datagram; nothing is sent in reply."""
         peer = self._peers.get(sender)
         if peer is None:
-            self.dropped[Drop.STRANGER] += 1
-            return NO_NEWS
+            self.dropped[DropReason.STRANGER] += 1
+            return NOTHING_RECEIVED
         try:
             message = decode(data)
         except MessageError:
-            self.dropped[Drop.UNREADABLE] += 1
-            return NO_NEWS
-        if self._of_this_life(now, sender, peer, message):
-            self._take(now, sender, peer, message)
+            self.dropped[DropReason.UNREADABLE] += 1
+            return NOTHING_RECEIVED
+        if self._is_current_epoch(now, sender, peer, message):
+            self._apply_message(now, sender, peer, message)
         else:
-            self.dropped[Drop.LATE] += 1
-        return NO_NEWS
+            self.dropped[DropReason.LATE] += 1
+        return NOTHING_RECEIVED
 
-    def _take(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
-        """Take a message of the sender's present life."""
+    def _apply_message(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
+        """Apply a message of the sender's present epoch."""
         late = message.number <= peer.number
-        if late:  # no sign of life, but each sum says of when it is, and a report on what it builds
-            self.dropped[Drop.LATE] += 1
+        if late:  # no sign of life, but sums carry their age, and reports their base
+            self.dropped[DropReason.LATE] += 1
         else:
             peer.number = message.number
             peer.heard_at = now
             if sender in self._assignment.dead:
-                self._returned(now, sender)
-        built_after = self._echoed(sender, peer, message, late)
+                self._on_member_alive(now, sender)
+        built_after = self._process_echo(sender, peer, message, late)
         if not late or message.base:
-            self._take_report(sender, message, built_after)
-        self._take_sums(message, built_after)
+            self._apply_report(sender, message, built_after)
+        self._apply_sums(message, built_after)
 
-    def _of_this_life(self, now: float, sender: int, peer: _Peer, message: Message) -> bool:
-        """Whether a datagram is of its sender's present life; notes a new one."""
+    def _is_current_epoch(self, now: float, sender: int, peer: _Peer, message: Message) -> bool:
+        """Whether a datagram is of its sender's present epoch; records a new epoch."""
         if message.epoch != peer.epoch:
             silent = now - peer.heard_at > self.plan.silent_ms
             if peer.epoch is not None and message.epoch < peer.epoch and not silent:
                 return False
             peer.epoch = message.epoch
             peer.number = 0
-            self._aggregator.reborn(sender)
+            self._aggregator.restart_member(sender)
         return True
 
-    def _echoed(self, sender: int, peer: _Peer, message: Message, late: bool) -> float | None:
-        """After when a datagram was built; None if it does not prove that."""
+    def _process_echo(self, sender: int, peer: _Peer, message: Message, late: bool) -> float | None:
+        """Apply the acknowledgement; returns a time after which the datagram was built, None if unproven.
+
+        That is the send time of the datagram that it echoes.
+        """
         known = message.echo if message.echo_epoch == self.epoch else 0
         if not late and not peer.reports.acknowledge(known):
-            peer.reports.restart([w for w in self._counts if sender in self._targets(w)])
-        return peer.reports.echoed(known) if known else None
+            peer.reports.reset([w for w in self._counts if sender in self._targets(w)])
+        return peer.reports.sent_time(known) if known else None
 
-    def _take_report(self, sender: int, message: Message, built_after: float | None) -> None:
+    def _apply_report(self, sender: int, message: Message, built_after: float | None) -> None:
         if not self._aggregator.apply(sender, message):
-            self.dropped[Drop.GAP] += 1
+            self.dropped[DropReason.GAP] += 1
         elif not message.more and built_after is not None:
-            self._aggregator.cover(sender, built_after, message.dead, self._dead)
+            self._aggregator.record_as_of(sender, built_after, message.dead, self._dead_set)
 
-    def _take_sums(self, message: Message, built_after: float | None) -> None:
+    def _apply_sums(self, message: Message, built_after: float | None) -> None:
         if not message.sums:
             return
         if built_after is None:
-            self.dropped[Drop.UNPROVEN] += 1
+            self.dropped[DropReason.UNPROVEN] += 1
             return
-        if not message.dead.within(self._assignment.dead, self._dead):
-            self.dropped[Drop.DISAGREES] += 1
+        if not message.dead.is_covered_by(self._assignment.dead, self._dead_set):
+            self.dropped[DropReason.DISAGREES] += 1
             return
         as_of = built_after - message.age_ms
-        unlisted = self._sums.take(message.sums, as_of, self._assignment.owner)
+        unlisted = self._sums.update(message.sums, as_of, self._assignment.owner)
         if unlisted:
-            self.dropped[Drop.UNLISTED] += unlisted
+            self.dropped[DropReason.UNLISTED] += unlisted
 
-    # Who lives
+    # Failure detection
 
     def _review(self, now: float) -> None:
-        """Find who is silent, and the sums' age anew, a few times a round."""
-        if now - self._reviewed_at < self.plan.round_ms / REVIEWS:
+        """Detect silent members and update the age of sums, ``REVIEWS_PER_ROUND`` times a round."""
+        if now - self._reviewed_at < self.plan.round_ms / REVIEWS_PER_ROUND:
             return
         stopped = now - self._reviewed_at > self.plan.silent_ms / 2
         self._reviewed_at = now
-        self._aggregator.refresh()
-        self._date(now, [w for w, _ in self._body])
-        if stopped:  # whoever did not listen cannot say who was silent
+        self._aggregator.invalidate_ages()
+        self._set_round_sums(now, [w for w, _ in self._round_sums])
+        if stopped:  # this process was suspended, so that it cannot tell who was silent
             for peer in self._peers.values():
                 peer.heard_at = max(peer.heard_at, now - self.plan.silent_ms / 2)
         silent_since = now - self.plan.silent_ms
@@ -471,34 +484,38 @@
             if peer.heard_at >= silent_since:
                 continue
             if member not in self._assignment.dead:
-                self._silent(member)
-            if now - peer.heard_at > max(self.limits.hold_ms, self.plan.silent_ms):
-                self._aggregator.void(member)
-
-    def _silent(self, member: int) -> None:
-        """A member is dead: tell those who take its workers over, or would if they lived, what is out there."""
-        told_before = {worker: self._assignment.above(worker) for worker in self._assignment.shards[member]}
-        for worker, _, _ in self._assignment.down(member):
+                self._on_member_dead(member)
+            if now - peer.heard_at > max(self.limits.silent_counts_ttl_ms, self.plan.silent_ms):
+                self._aggregator.clear_member(member)
+
+    def _on_member_dead(self, member: int) -> None:
+        """Mark a member as dead, and mark the counts of its workers in the reports to their new targets.
+
+        These are the new owners, and dead members that would own the workers if they were alive.
+        """
+        previous_dead_above = {worker: self._assignment.dead_above(worker)
+                               for worker in self._assignment.shards[member]}
+        for worker, _, _ in self._assignment.mark_dead(member):
             for target in self._targets(worker):
                 reports = self._peers[target].reports
-                if target != member and target not in told_before[worker] and (
-                        worker in self._counts or worker in reports.told):
+                if target != member and target not in previous_dead_above[worker] and (
+                        worker in self._counts or worker in reports.sent_ids):
                     reports.mark(worker)
-        self._views()
+        self._update_dead_set()
 
-    def _returned(self, now: float, member: int) -> None:
-        """A member lives again: what is its own returns to it, and what is known of that is kept."""
+    def _on_member_alive(self, now: float, member: int) -> None:
+        """Mark a member as alive: its workers return to it; the sums known here of these are kept."""
         for worker in list(self._assignment.shards[self.me]):
-            if member in self._assignment.above(worker):
-                held = self._best(worker, now)
-                self._sums.take({worker: held.others}, held.as_of, self._assignment.owner)
-        self._assignment.up(member)
-        self._views()
+            if member in self._assignment.dead_above(worker):
+                newest = self._newest_sum(worker, now)
+                self._sums.update({worker: newest.peer_slots}, newest.as_of, self._assignment.owner)
+        self._assignment.mark_alive(member)
+        self._update_dead_set()
 
-    def _views(self) -> None:
+    def _update_dead_set(self) -> None:
         dead = self._assignment.dead
-        self._dead = DeadSet.of(dead)
-        self._aggregator.live(self._peers.keys() - dead)
+        self._dead_set = DeadSet.of(dead)
+        self._aggregator.set_live(self._peers.keys() - dead)
 
 
-__all__ = ["Drop", "Limits", "Outgoing", "Received", "ShardedExchange"]
+__all__ = ["DropReason", "Limits", "Outgoing", "Received", "ShardedExchange"]
