--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -659,7 +659,7 @@
         await self._end_calls_after_exception(session)
         while (session.queued_calls
                and (reason := self.core.check_before_last_byte(session.queued_calls[0][3])) is not None):
-            call = heappop(session.queued_calls)[3]  # fence lost or client gone: nothing of it was written
+            call = heappop(session.queued_calls)[3]  # no longer permitted or needed: nothing of it was written
             call.finished = True
             await self.core.post(partial(self.core.call_ended, call, Outcome(reason)))
         if not session.queued_calls:
