--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -74,8 +74,8 @@
 from ...tasks import Tasks
 from ..listener import BACKLOG, shutdown_if_idle
 from ..timeouts import timeout_after_poll
-from .ends import JobResult, ResultCache
 from .functions import FunctionClasses
+from .results import JobResult, ResultCache
 from .session import Assignment, Session, Submission
 from .text import TextCommands
 
