--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -21,7 +21,7 @@
 from ...net.destinations import SOURCE
 from ...net.peers import HEARTBEAT_FULL_RATE_PEERS, HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.messages import DELTA, SNAPSHOT, Kind
-from ...occupancy.pacing import HEARTBEAT_MS, Pacing
+from ...occupancy.pacing import HEARTBEAT_INTERVAL_MS, Pacing
 from .points import ExchangeKind
 
 MAX_STEP_MS = 50.0  # time that passed beyond this since the last step is skipped, which ``covered_s`` shows
@@ -95,11 +95,11 @@
             self.counts[worker] = count
         else:
             del self.counts[worker]
-        return self.encode_messages(now, DELTA) if self.pacing.changed(now, worker, started) else []
+        return self.encode_messages(now, DELTA) if self.pacing.record_change(now, worker, started) else []
 
     def send_periodic(self, now: float) -> list[bytes]:
-        """The messages that are due once in ``HEARTBEAT_MS``."""
-        due = self.pacing.next_turn(now)
+        """The messages that are due once in ``HEARTBEAT_INTERVAL_MS``."""
+        due = self.pacing.next_tick(now)
         return [] if due is None else self.encode_messages(now, due)
 
     def flush(self, now: float) -> list[bytes]:
@@ -110,7 +110,7 @@
     def encode_messages(self, now: float, kind: Kind) -> list[bytes]:
         """Messages with the changed counts (``DELTA``) or with the whole table."""
         workers = list(self.pacing.pending) if kind is DELTA else list(self.counts)
-        return list(self.pacing.messages(now, kind, [(w, self.counts.get(w, 0)) for w in workers]))
+        return list(self.pacing.encode_broadcast(now, kind, [(w, self.counts.get(w, 0)) for w in workers]))
 
 
 class TaskSimulation:
@@ -175,7 +175,7 @@
     def _schedule_first_timers(self, now: float) -> None:
         for i, scheduler in enumerate(self.schedulers):
             # A random phase of the snapshot cycle, as of schedulers that have run for long.
-            scheduler.pacing.turn = self.random.randrange(1, 1 + scheduler.pacing.snapshot_turns)
+            scheduler.pacing.tick = self.random.randrange(1, 1 + scheduler.pacing.snapshot_ticks)
             part = i / len(self.schedulers)
             heappush(self._timers, (now + part * self.plan.fill_s * 1000.0, _SNAPSHOT, i))
             heappush(self._timers, (
@@ -207,5 +207,5 @@
         if timer == _HEARTBEAT:
             heappush(self._timers, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.heartbeat_slowdown, _HEARTBEAT, i))
             return [bytes([HEARTBEAT_TYPE, 1])]
-        heappush(self._timers, (now + HEARTBEAT_MS * (0.8 + 0.4 * self.random.random()), _PERIODIC, i))
+        heappush(self._timers, (now + HEARTBEAT_INTERVAL_MS * (0.8 + 0.4 * self.random.random()), _PERIODIC, i))
         return scheduler.send_periodic(now) if timer == _PERIODIC else scheduler.encode_messages(now, SNAPSHOT)
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -80,22 +80,22 @@
         self._shared = shared
         self._report_age_ms = report_age_ms
         for wire_id in shared.assignment.shards[me]:
-            self.list_worker(wire_id)
+            self.add_worker(wire_id)
 
     def set_own(self, wire_id: int, count: int) -> None:
         """Does nothing, as the shared table has this scheduler's own slots."""
 
-    def others(self, wire_id: int, member: int) -> int:
+    def total_except(self, wire_id: int, member: int) -> int:
         """The slots that all members but one real scheduler have out at a worker."""
-        return super().others(wire_id, member) + self._shared.slots_out.get(wire_id, 0)
+        return super().total_except(wire_id, member) + self._shared.slots_out.get(wire_id, 0)
 
     def total(self, wire_id: int) -> int:
         """The slots that all members have out at a worker."""
         return super().total(wire_id) + self._shared.slots_out.get(wire_id, 0)
 
-    def as_of(self, now: float, wire_id: int, need: frozenset[int], all_dead: DeadSet) -> float:
+    def as_of(self, now: float, wire_id: int, dead_required: frozenset[int], all_dead: DeadSet) -> float:
         """The time as of which the sum at a worker is complete, at least ``REPORT_AGE_ROUNDS`` rounds ago."""
-        return min(super().as_of(now, wire_id, need, all_dead), now - self._report_age_ms)
+        return min(super().as_of(now, wire_id, dead_required, all_dead), now - self._report_age_ms)
 
 
 class HollowExchange(ShardedExchange):
@@ -117,18 +117,18 @@
     def _targets(self, wire_id: int) -> list[int]:
         return [member for member in super()._targets(wire_id) if member in self._real]
 
-    def _tell(self, now: float, member: int) -> list[Outgoing]:
+    def _send_round_to(self, now: float, member: int) -> list[Outgoing]:
         if member not in self._real:
             self._bucket.spend(self._last_real_bytes)
-            self._reported += self._last_real_reports
+            self._entries_reported += self._last_real_reports
             return []
-        reported = self._reported
-        outgoing = super()._tell(now, member)
+        reported = self._entries_reported
+        outgoing = super()._send_round_to(now, member)
         self._last_real_bytes = sum(len(data) for _, data in outgoing)
-        self._last_real_reports = self._reported - reported
+        self._last_real_reports = self._entries_reported - reported
         return outgoing
 
-    def _silent(self, member: int) -> None:
+    def _on_member_dead(self, member: int) -> None:
         """Does nothing: a run in which a real scheduler falls silent has failed."""
 
 
@@ -150,7 +150,7 @@
             self._add_slots(scheduler, worker, 1)
         for scheduler, counts in enumerate(self.counts):
             for worker, count in counts.items():
-                self.exchanges[scheduler].changed(now, worker, count, True)
+                self.exchanges[scheduler].record_change(now, worker, count, True)
         for i, exchange in enumerate(self.exchanges):
             heappush(self._timers, (now + self.random.random() * exchange.plan.round_ms, _WAKE, i))
             heappush(self._timers, (now + self.random.random() * self._heartbeat_ms, _HEARTBEAT, i))
@@ -170,7 +170,7 @@
         """Advances to ``now``; yields each due datagram."""
         for scheduler, worker, started in self.play_tasks(now):
             slots_out = self._add_slots(scheduler, worker, 1 if started else -1)
-            self.exchanges[scheduler].changed(now, worker, slots_out, started)
+            self.exchanges[scheduler].record_change(now, worker, slots_out, started)
         while self._timers and self._timers[0][0] <= now:
             due, timer, i = heappop(self._timers)
             if timer == _HEARTBEAT:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -35,8 +35,8 @@
 from gaphub.lab.scale.sampling import Sample, usage_between
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan_points, read_scenario
 from gaphub.net.peers import HEARTBEAT_TYPE
-from gaphub.occupancy.ledger import Ledger
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
+from gaphub.occupancy.peer_counts import PeerCounts
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = ROOT / "deploy" / "scale" / "short.toml"
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("schedulers", [5, 12, 60])
 def test_what_hollow_schedulers_say_is_their_table(schedulers: int) -> None:
     fleet, messages = _simulate(_plan(schedulers, 200.0, 3_000), 4.0)
-    ledger, now = Ledger(schedulers - 1), 4_000.0
+    peer_counts, now = PeerCounts(schedulers - 1), 4_000.0
     for i, one in enumerate(fleet.schedulers):  # ends that are still held back for batching
         messages += [(now, i, data) for data in one.encode_messages(now, DELTA)]
     heartbeats = 0
@@ -204,13 +204,13 @@
             continue
         assert decode(data) is not None
         assert len(data) <= MESSAGE_BYTES_MAX
-        assert ledger.take(at, i, data) is not None
+        assert peer_counts.receive(at, i, data) is not None
     assert heartbeats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.heartbeat_slowdown) * 0.5
     # With colliding wire ids the assertions below would have to compare sums.
     assert len({wire_id(n) for n in fleet.worker_numbers}) == len(fleet.worker_numbers)
     for i, one in enumerate(fleet.schedulers):
-        assert ledger.counts[i] == {wire_id(w): n for w, n in one.counts.items()}
-    assert sum(ledger.total.values()) == len(fleet.tasks) == 3_000
+        assert peer_counts.counts[i] == {wire_id(w): n for w, n in one.counts.items()}
+    assert sum(peer_counts.total.values()) == len(fleet.tasks) == 3_000
 
 
 def test_as_many_tasks_end_as_start_and_the_rate_is_the_planned_one() -> None:
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -21,13 +21,13 @@
 from gaphub.occupancy.all_to_all import AllToAll
 from gaphub.occupancy.budget import Limits
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange
-from gaphub.occupancy.sharded import Drop, ShardedExchange
+from gaphub.occupancy.sharded import DropReason, ShardedExchange
 from gaphub.occupancy.sized import LARGE_FROM_PEERS, LARGE_FROM_WORKERS, SizedExchange
+from gaphub.occupancy.status import ExchangeMethod as ReportedKind
 from gaphub.occupancy.status import OccupancyStatus, occupancy_status
-from gaphub.occupancy.status import Way as ReportedKind
 from gaphub.occupancy.sums_messages import MESSAGE_BYTES_MAX, decode
 
-from .occupancy_network import at_size
+from .occupancy_network import measure_at_size
 
 REAL, SCHEDULERS, WORKERS = 2, 12, 2_000
 STARTS_PER_S, TASKS = 400.0, 24_000
@@ -95,8 +95,8 @@
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
     for one in real:
         for worker in range(WORKERS):
-            one.listed(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
-            one.changed(0.0, worker_number(worker), float(_own_slots(one.me, worker)), True)
+            one.add_worker(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
+            one.record_change(0.0, worker_number(worker), float(_own_slots(one.me, worker)), True)
     played = Simulation(ShardedFleet(plan, 0.0), real)
     played.run(STEADY_MS, rng)
     played.steady_drops = [sum(one.dropped.values()) for one in real]
@@ -130,21 +130,21 @@
 def test_real_exchanges_are_complete_and_drop_nothing_in_the_steady_state(played: Simulation) -> None:
     for one, before in zip(played.real_exchanges, played.steady_drops, strict=True):
         assert one.complete(played.now)
-        assert len(one.speaks()) == SCHEDULERS - 1
+        assert len(one.heard_members()) == SCHEDULERS - 1
         assert sum(one.dropped.values()) == before, one.dropped
-        assert not one.dropped[Drop.DISAGREES]
-        assert not one.dropped[Drop.UNREADABLE]
-        assert not one.dropped[Drop.STRANGER]
-        assert not one.dropped[Drop.UNLISTED]
-        assert one.refused_reports() == 0
+        assert not one.dropped[DropReason.DISAGREES]
+        assert not one.dropped[DropReason.UNREADABLE]
+        assert not one.dropped[DropReason.STRANGER]
+        assert not one.dropped[DropReason.UNLISTED]
+        assert one.refused_entries() == 0
 
 
 def test_hollow_exchanges_drop_nothing_either(played: Simulation) -> None:
     for hollow in played.fleet.exchanges:
-        assert not hollow.dropped[Drop.GAP]
-        assert not hollow.dropped[Drop.DISAGREES]
-        assert not hollow.dropped[Drop.LATE]
-        assert hollow.refused_reports() == 0
+        assert not hollow.dropped[DropReason.GAP]
+        assert not hollow.dropped[DropReason.DISAGREES]
+        assert not hollow.dropped[DropReason.LATE]
+        assert hollow.refused_entries() == 0
         assert not hollow._assignment.dead
 
 
@@ -157,7 +157,7 @@
             since = played.now - age - STEP_MS
             hollow = [totals.get(wire_id, 0) for at, totals in played.totals if at >= since]
             other = _own_slots(1 - one.me, worker)
-            assert min(hollow) + other <= one.out(worker_number(worker)) <= max(hollow) + other
+            assert min(hollow) + other <= one.peer_slots(worker_number(worker)) <= max(hollow) + other
 
 
 def test_what_is_believed_is_all_that_is_out_once_nothing_changes() -> None:
@@ -167,7 +167,7 @@
     for one in played.real_exchanges:
         for worker in range(WORKERS):
             out = played.fleet.shared.slots_out.get(played.wire_id(worker), 0)
-            assert one.out(worker_number(worker)) == out + _own_slots(1 - one.me, worker)
+            assert one.peer_slots(worker_number(worker)) == out + _own_slots(1 - one.me, worker)
 
 
 def test_hollow_schedulers_spend_what_a_real_one_spends(played: Simulation) -> None:
@@ -180,7 +180,7 @@
 
 
 def test_ages_are_those_among_real_schedulers(played: Simulation) -> None:
-    among_real = at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
+    among_real = measure_at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
     ages = sorted(one.age(played.now, worker_number(w)) for one in played.real_exchanges for w in range(WORKERS))
     assert ages[len(ages) // 2] == pytest.approx(among_real.age_p50_ms, rel=0.1)
     assert ages[len(ages) * 99 // 100] == pytest.approx(among_real.age_p99_ms, rel=0.15)
