--- a/gaphub/lab/scale/budget.py
+++ b/gaphub/lab/scale/budget.py
@@ -77,5 +77,5 @@
 
 
 def rank_by_factor(comparisons: Iterable[Comparison]) -> list[Comparison]:
-    """Sorts by descending factor, and equal factors by sweep and measure."""
+    """Sort by descending factor, and equal factors by sweep and measure."""
     return sorted(comparisons, key=lambda each: (-each.factor, each.sweep, each.measure))
--- a/gaphub/lab/scale/discovery.py
+++ b/gaphub/lab/scale/discovery.py
@@ -34,7 +34,7 @@
         self._random = random.Random(seed)
 
     def set_listed(self, worker: int, listed: bool) -> None:
-        """Removes a worker from the list, or adds it again."""
+        """Remove a worker from the list, or adds it again."""
         self.listed[worker] = listed
         self._changes.append(worker)
         self.version += 1
@@ -42,7 +42,7 @@
         self.changed = asyncio.Event()
 
     def relist_all(self) -> None:
-        """Adds every removed worker again."""
+        """Add every removed worker again."""
         for worker in [w for w, listed in enumerate(self.listed) if not listed]:
             self.set_listed(worker, True)
 
@@ -51,7 +51,7 @@
         return [w for zone in range(self.zones) for w in range(zone, self.workers, self.zones)]
 
     async def churn(self, per_s: float) -> None:
-        """Changes the list at this rate until cancelled: each removed worker is added again by the next change.
+        """Change the list at this rate until cancelled: each removed worker is added again by the next change.
 
         The intervals between changes are exponentially distributed.
         """
@@ -97,12 +97,12 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Starts to listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
-        """Stops listening."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
--- a/gaphub/lab/scale/fit.py
+++ b/gaphub/lab/scale/fit.py
@@ -74,7 +74,7 @@
 
 
 def fit_line(loads: Sequence[float], values: Sequence[float]) -> Line:
-    """Fits a least-squares line of the values against the loads."""
+    """Fit a least-squares line of the values against the loads."""
     if len(loads) != len(values):
         raise FitError("loads and values differ in number")
     if len(loads) < MIN_POINTS:
@@ -116,7 +116,7 @@
 
 
 def _outliers(centred: Vector, residuals: Vector) -> tuple[bool, ...]:
-    """Marks outliers by their externally studentised residuals, with the Bonferroni correction.
+    """Mark outliers by their externally studentised residuals, with the Bonferroni correction.
 
     The bound depends on the significance level and the number of points: a fixed one would mark good points where
     there are few degrees of freedom.
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -22,10 +22,10 @@
 from ...net.peers import HEARTBEAT_FULL_RATE_PEERS, HEARTBEAT_INTERVAL_S, HEARTBEAT_TYPE
 from ...occupancy.messages import DELTA, SNAPSHOT, Kind
 from ...occupancy.pacing import HEARTBEAT_INTERVAL_MS, Pacing
-from .points import ExchangeKind
+from .points import FleetMethod
 
 MAX_STEP_MS = 50.0  # time that passed beyond this since the last step is skipped, which ``covered_s`` shows
-_HEARTBEAT, _PERIODIC, _FLUSH, _SNAPSHOT = range(4)
+_HEARTBEAT, _TICK, _FLUSH, _SNAPSHOT = range(4)
 
 
 class HollowPlan(Struct, frozen=True):
@@ -39,7 +39,7 @@
     tasks_running: int  # at all hollow schedulers together
     fill_s: float  # within this time each hollow scheduler sends its first snapshot (all-to-all only)
     seed: int
-    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
+    way: FleetMethod = FleetMethod.ALL_TO_ALL
 
 
 class FleetCounters(Struct, frozen=True):
@@ -89,7 +89,7 @@
         self.pacing = Pacing(others)
 
     def change(self, now: float, worker: int, started: bool) -> list[bytes]:
-        """Records that a task started or ended; returns the messages to send at once."""
+        """Record that a task started or ended; return the messages to send at once."""
         count = self.counts.get(worker, 0) + (1 if started else -1)
         if count:
             self.counts[worker] = count
@@ -97,8 +97,8 @@
             del self.counts[worker]
         return self.encode_messages(now, DELTA) if self.pacing.record_change(now, worker, started) else []
 
-    def send_periodic(self, now: float) -> list[bytes]:
-        """The messages that are due once in ``HEARTBEAT_INTERVAL_MS``."""
+    def on_tick(self, now: float) -> list[bytes]:
+        """The messages that are due at a tick, once in ``HEARTBEAT_INTERVAL_MS``."""
         due = self.pacing.next_tick(now)
         return [] if due is None else self.encode_messages(now, due)
 
@@ -127,7 +127,7 @@
         self.worker_numbers = [worker_number(i) for i in range(plan.workers)]
         self.starts = self.ends = 0
         self.covered_ms = 0.0
-        self.played_until = now
+        self.simulated_until = now
         self._batch_random = np.random.default_rng(plan.seed)
         # Scheduler and worker of each running task.
         self.tasks: list[tuple[int, int]] = [self._random_task() for _ in range(plan.tasks_running)]
@@ -136,10 +136,10 @@
         return (int(self.random.random() * len(self.plan.listen)),
                 self.worker_numbers[int(self.random.random() * len(self.worker_numbers))])
 
-    def play_tasks(self, now: float) -> Iterator[TaskChange]:
-        """Advances the simulation to ``now``; yields each start and each end."""
-        step = min(now - self.played_until, MAX_STEP_MS)
-        self.played_until = now
+    def simulate_tasks(self, now: float) -> Iterator[TaskChange]:
+        """Advance the simulation to ``now``; yield each start and each end."""
+        step = min(now - self.simulated_until, MAX_STEP_MS)
+        self.simulated_until = now
         self.covered_ms += step
         for _ in range(int(self._batch_random.poisson(self.plan.starts_per_s * step / 1000.0))):
             yield self._start()
@@ -176,15 +176,15 @@
         for i, scheduler in enumerate(self.schedulers):
             # A random phase of the snapshot cycle, as of schedulers that have run for long.
             scheduler.pacing.tick = self.random.randrange(1, 1 + scheduler.pacing.snapshot_ticks)
-            part = i / len(self.schedulers)
-            heappush(self._timers, (now + part * self.plan.fill_s * 1000.0, _SNAPSHOT, i))
+            phase = i / len(self.schedulers)
+            heappush(self._timers, (now + phase * self.plan.fill_s * 1000.0, _SNAPSHOT, i))
             heappush(self._timers, (
                 now + self.random.random() * HEARTBEAT_INTERVAL_S * 1000.0 * self.heartbeat_slowdown,
                 _HEARTBEAT, i))
 
     def advance(self, now: float) -> Iterator[tuple[int, bytes]]:
-        """Advances to ``now``; yields each due datagram, to go to every receiver, with its scheduler's index."""
-        for change in self.play_tasks(now):
+        """Advance to ``now``; yield each due datagram, to go to every receiver, with its scheduler's index."""
+        for change in self.simulate_tasks(now):
             for datagram in self._apply_change(now, change):
                 yield change.scheduler, datagram
         while self._timers and self._timers[0][0] <= now:
@@ -194,9 +194,9 @@
 
     def _apply_change(self, now: float, change: TaskChange) -> list[bytes]:
         scheduler = self.schedulers[change.scheduler]
-        waited = scheduler.pacing.flush_at
+        flush_before = scheduler.pacing.flush_at
         messages = scheduler.change(now, change.worker, change.started)
-        if not change.started and scheduler.pacing.flush_at and scheduler.pacing.flush_at != waited:
+        if not change.started and scheduler.pacing.flush_at and scheduler.pacing.flush_at != flush_before:
             heappush(self._timers, (scheduler.pacing.flush_at, _FLUSH, change.scheduler))
         return messages
 
@@ -207,5 +207,5 @@
         if timer == _HEARTBEAT:
             heappush(self._timers, (now + HEARTBEAT_INTERVAL_S * 1000.0 * self.heartbeat_slowdown, _HEARTBEAT, i))
             return [bytes([HEARTBEAT_TYPE, 1])]
-        heappush(self._timers, (now + HEARTBEAT_INTERVAL_MS * (0.8 + 0.4 * self.random.random()), _PERIODIC, i))
-        return scheduler.send_periodic(now) if timer == _PERIODIC else scheduler.encode_messages(now, SNAPSHOT)
+        heappush(self._timers, (now + HEARTBEAT_INTERVAL_MS * (0.8 + 0.4 * self.random.random()), _TICK, i))
+        return scheduler.on_tick(now) if timer == _TICK else scheduler.encode_messages(now, SNAPSHOT)
--- a/gaphub/lab/scale/hollow_process.py
+++ b/gaphub/lab/scale/hollow_process.py
@@ -24,7 +24,7 @@
 from ...occupancy.exchange import ALL_PEERS
 from .hollow import FleetCounters, HollowFleet, HollowPlan
 from .hollow_sharded import FleetDatagram, ShardedFleet
-from .points import ExchangeKind
+from .points import FleetMethod
 
 POLL_INTERVAL_S = 0.001  # longest wait between two checks for due datagrams
 RECEIVE_BUFFER_BYTES = 4_608  # kernel buffer of each hollow scheduler's socket
@@ -37,19 +37,19 @@
 
     def __init__(self, plan: HollowPlan) -> None:
         self.plan = plan
-        self.sockets = [_bound_socket(to) for to in plan.listen]
+        self.sockets = [_bound_socket(address) for address in plan.listen]
         self.fleet = (
-            ShardedFleet(plan, _now_ms()) if plan.way is ExchangeKind.SHARDED else HollowFleet(plan, _now_ms()))
+            ShardedFleet(plan, _now_ms()) if plan.way is FleetMethod.SHARDED else HollowFleet(plan, _now_ms()))
         self.datagrams = self.bytes = self.unsent = 0  # summed over all receivers
-        self._receiver_indices = {tuple(to): i for i, to in enumerate(plan.receivers)}
+        self._receiver_indices = {tuple(address): i for i, address in enumerate(plan.receivers)}
         self._selector = selectors.DefaultSelector()
         self._selector.register(0, selectors.EVENT_READ, _STDIN)
-        if plan.way is ExchangeKind.SHARDED:
+        if plan.way is FleetMethod.SHARDED:
             for i, sock in enumerate(self.sockets):
                 self._selector.register(sock, selectors.EVENT_READ, i)
 
     def run(self) -> None:
-        """Sends due datagrams until the input ends."""
+        """Send due datagrams until the input ends."""
         while True:
             for key, _ in self._selector.select(POLL_INTERVAL_S):
                 if key.data != _STDIN:
@@ -67,16 +67,16 @@
             yield FleetDatagram(scheduler, ALL_PEERS, data)
 
     def _send(self, sock: socket.socket, receiver: int, data: bytes) -> None:
-        for to in self.plan.receivers if receiver == ALL_PEERS else [self.plan.receivers[receiver]]:
+        for address in self.plan.receivers if receiver == ALL_PEERS else [self.plan.receivers[receiver]]:
             self.datagrams += 1
             self.bytes += len(data)
             try:
-                sock.sendto(data, to)
+                sock.sendto(data, address)
             except OSError:  # the receiver has ended, or the kernel's buffers are full
                 self.unsent += 1
 
     def _receive(self, scheduler: int) -> None:
-        """Reads all datagrams that wait at one scheduler's socket."""
+        """Read all datagrams that wait at one scheduler's socket."""
         assert isinstance(self.fleet, ShardedFleet)
         while True:
             try:
@@ -90,7 +90,7 @@
                 self.fleet.on_datagram(_now_ms(), scheduler, receiver, data)
 
     def _answer_stdin(self) -> bool:
-        """Answers each line of the input; returns False at its end."""
+        """Answer each line of the input; return False at its end."""
         read = os.read(0, 4096)
         for _ in range(read.count(b"\n")):
             os.write(1, msgspec.json.encode(self.counters()) + b"\n")
@@ -104,7 +104,7 @@
             self.datagrams // receivers, self.bytes // receivers, self.unsent)
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Close all sockets."""
         self._selector.close()
         for sock in self.sockets:
             sock.close()
@@ -114,11 +114,11 @@
     return time.monotonic() * 1000.0
 
 
-def _bound_socket(to: Address) -> socket.socket:
+def _bound_socket(address: Address) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.setblocking(False)
-    sock.bind(tuple(to))
+    sock.bind(tuple(address))
     return sock
 
 
@@ -133,7 +133,7 @@
 
 
 def main() -> None:
-    """Runs the fleet of the plan on standard input."""
+    """Run the fleet of the plan on standard input."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles Ctrl-C, and closes this process's input
     runner = FleetRunner(msgspec.json.decode(_first_line(), type=HollowPlan))
     gc.freeze()  # a collection over the millions of objects of a large fleet would exceed MAX_STEP_MS
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -64,13 +64,13 @@
             self.assignment.add(self.identities.id_of(number))
 
     def add_slots(self, number: int, delta: int) -> None:
-        """Adds ``delta`` to the slots that the hollow schedulers have out at a worker."""
+        """Add ``delta`` to the slots that the hollow schedulers have out at a worker."""
         wire_id = self.identities.id_of(number)
         self.slots_out[wire_id] = self.slots_out.get(wire_id, 0) + delta
 
 
 class HollowAggregator(Aggregator):
-    """Sums the real schedulers' reports and the shared table of the hollow schedulers' slots out."""
+    """Sums over the real schedulers' reports and the shared table of the hollow schedulers' slots out."""
 
     __slots__ = ("_shared", "_report_age_ms")
 
@@ -83,7 +83,7 @@
             self.add_worker(wire_id)
 
     def set_own(self, wire_id: int, count: int) -> None:
-        """Does nothing, as the shared table has this scheduler's own slots."""
+        """Do nothing, as the shared table has this scheduler's own slots."""
 
     def total_except(self, wire_id: int, member: int) -> int:
         """The slots that all members but one real scheduler have out at a worker."""
@@ -129,7 +129,7 @@
         return outgoing
 
     def _on_member_dead(self, member: int) -> None:
-        """Does nothing: a run in which a real scheduler falls silent has failed."""
+        """Do nothing: a run in which a real scheduler falls silent has failed."""
 
 
 class ShardedFleet(TaskSimulation):
@@ -156,7 +156,7 @@
             heappush(self._timers, (now + self.random.random() * self._heartbeat_ms, _HEARTBEAT, i))
 
     def _add_slots(self, scheduler: int, worker: int, delta: int) -> int:
-        """Changes one hollow scheduler's slots out at a worker; returns the new count."""
+        """Change one hollow scheduler's slots out at a worker; return the new count."""
         counts = self.counts[scheduler]
         slots_out = counts.get(worker, 0) + delta
         if slots_out:
@@ -167,8 +167,8 @@
         return slots_out
 
     def advance(self, now: float) -> Iterator[FleetDatagram]:
-        """Advances to ``now``; yields each due datagram."""
-        for scheduler, worker, started in self.play_tasks(now):
+        """Advance to ``now``; yield each due datagram."""
+        for scheduler, worker, started in self.simulate_tasks(now):
             slots_out = self._add_slots(scheduler, worker, 1 if started else -1)
             self.exchanges[scheduler].record_change(now, worker, slots_out, started)
         while self._timers and self._timers[0][0] <= now:
@@ -187,6 +187,6 @@
         return outgoing
 
     def on_datagram(self, now: float, scheduler: int, sender: int, data: bytes) -> None:
-        """Handles a datagram from a real scheduler; ignores what is not of the sharded format."""
+        """Handle a datagram from a real scheduler; ignore what is not of the sharded format."""
         if data[:1] == bytes((VERSION,)):
             self.exchanges[scheduler].on_message(now, sender, data, {}, self.random.random)
--- a/gaphub/lab/scale/in_force.py
+++ b/gaphub/lab/scale/in_force.py
@@ -28,7 +28,7 @@
 POLL_INTERVAL_S = 0.02
 CHANGE_TIMEOUT_S = 8.0  # above the budget of 6 s
 MIN_CHANGES = 4
-MIN_CHANGES_PER_S = 1.0  # a slower pace would make no change within the phase
+MIN_CHANGES_PER_S = 1.0  # at a lower rate the phase could end without a change
 _HISTOGRAM_MAX_US = 60_000_000
 
 
@@ -40,7 +40,7 @@
         self.applied_at: list[list[float]] = [[] for _ in range(schedulers)]
 
     def record_applied(self, scheduler: int, count_applied: int, now: float) -> None:
-        """Records that a scheduler now has this many of the changes in force."""
+        """Record that a scheduler now has this many of the changes in force."""
         applied_at = self.applied_at[scheduler]
         applied_at += [now] * (min(count_applied, len(self.made_at)) - len(applied_at))
 
@@ -102,7 +102,7 @@
 
 async def measure_list_changes(schedulers: list[RealScheduler], registry: Registry, changes_per_s: float,
                                phase_s: float) -> ChangeLatency:
-    """Removes workers from the list at a rate, at most one zone.  All workers must be listed before."""
+    """Remove workers from the list at a rate, at most one zone.  All workers must be listed before."""
     changes_per_s = max(MIN_CHANGES_PER_S, changes_per_s)
     workers = registry.workers_by_zone()[:max(1, registry.workers // registry.zones)]
     count = min(len(workers), max(MIN_CHANGES, round(changes_per_s * phase_s)))
@@ -114,7 +114,7 @@
 
 async def measure_settings_changes(schedulers: list[RealScheduler], changes_per_s: float, phase_s: float
                                    ) -> ChangeLatency:
-    """Changes the settings of every scheduler at a rate."""
+    """Change the settings of every scheduler at a rate."""
     changes_per_s = min(MAX_SETTINGS_CHANGES_PER_S, max(MIN_CHANGES_PER_S, changes_per_s))
     reloads_before = [(await scheduler.stats())["reload_success"] for scheduler in schedulers]
 
--- a/gaphub/lab/scale/plots.py
+++ b/gaphub/lab/scale/plots.py
@@ -25,7 +25,7 @@
 
 
 def draw(series: Series, target: Target, path: Path) -> None:
-    """Writes the plot of a series: over the measured loads, and up to the target if that lies far beyond them."""
+    """Write the plot of a series: over the measured loads, and up to the target if that lies far beyond them."""
     at_target = series.sweep.swept.of_target(target)
     max_load = max(each.x for each in series.observations)
     ends = [max_load, at_target] if at_target > FAR_TARGET_RATIO * max_load else [max(max_load, at_target)]
@@ -42,7 +42,7 @@
 
 
 def _legend(figure: Any, panels: Any) -> None:
-    """Draws one legend below all panels, as the last panel may be the only one that shows the target."""
+    """Draw one legend below all panels, as the last panel may be the only one that shows the target."""
     handles: dict[str, Any] = {}
     for panel in panels:
         for handle, label in zip(*panel.get_legend_handles_labels(), strict=True):
@@ -52,7 +52,7 @@
 
 
 def _panel(panel: Any, series: Series, end: float, at_target: float) -> None:
-    """Draws the points, the line from load 0 to ``end``, the budget, and the target if it is in this range."""
+    """Draw the points, the line from load 0 to ``end``, the budget, and the target if it is in this range."""
     _points(panel, series)
     if series.line is not None:
         _line(panel, series, end)
@@ -68,7 +68,7 @@
 
 
 def _points(panel: Any, series: Series) -> None:
-    """Draws each point at its mean, with the range over its processes; outliers in another colour and marker."""
+    """Draw each point at its mean, with the range over its processes; outliers in another colour and marker."""
     count = len(series.observations)
     outliers = (False,) * count if series.line is None else series.line.outliers
     for is_outlier, colour, marker, label in ((False, LINE_COLOUR, "o", "points"),
@@ -85,7 +85,7 @@
 
 
 def _line(panel: Any, series: Series, end: float) -> None:
-    """Draws the fitted line with the confidence interval of the mean."""
+    """Draw the fitted line with the confidence interval of the mean."""
     assert series.line is not None
     xs = [float(x) for x in np.linspace(0.0, end, LINE_STEPS)]
     estimates = [series.line.mean_at(x) for x in xs]
--- a/gaphub/lab/scale/points.py
+++ b/gaphub/lab/scale/points.py
@@ -20,8 +20,8 @@
     """A points file cannot be read; the message names the file and the line."""
 
 
-class ExchangeKind(Enum):
-    """The occupancy exchange that the schedulers of a point use."""
+class FleetMethod(Enum):
+    """The method of the occupancy exchange that the schedulers of a point use."""
 
     ALL_TO_ALL = "all to all"
     SHARDED = "sharded"
@@ -92,19 +92,19 @@
     schedulers: list[SchedulerUsage]
     baseline: list[SchedulerUsage]  # to subtract: the same schedulers without peer messages and list changes
     in_force_ms: ChangeLatency | None = None
-    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
+    way: FleetMethod = FleetMethod.ALL_TO_ALL
     baseline_seconds: float = 0.0  # length of the baseline's window; 0: the same as ``seconds``
     failed: str = ""  # why the point could not be measured, or does not represent the planned load
 
 
 def append_point(path: Path, point: Point) -> None:
-    """Appends a point to a file, which is created if it does not exist."""
+    """Append a point to a file, which is created if it does not exist."""
     with open(path, "ab") as file:
         file.write(msgspec.json.encode(point) + b"\n")
 
 
 def read_points(path: Path) -> Iterator[Point]:
-    """Reads the points of a file, in its order."""
+    """Read the points of a file, in its order."""
     with open(path, "rb") as file:
         for line_number, line in enumerate(file, 1):
             if not line.strip():
--- a/gaphub/lab/scale/processes.py
+++ b/gaphub/lab/scale/processes.py
@@ -22,7 +22,7 @@
 from ..world import read_head
 from .discovery import CountingAgent, zone_name
 from .hollow import FleetCounters, HollowPlan
-from .points import ExchangeKind, Load
+from .points import FleetMethod, Load
 from .sampling import Sample
 
 SOURCE_TREE = Path(__file__).resolve().parents[3]
@@ -32,12 +32,12 @@
 FLEET_ANSWER_TIMEOUT_S = 20.0  # the hollow fleet first answers when it has filled its tables
 HTTP_PORT, OPS_PORT, PEER_PORT = 8_000, 8_001, 7_946  # of a real scheduler
 START_ARGUMENTS = {
-    ExchangeKind.SHARDED: ["-m", "gaphub"],  # the daemon chooses by size
+    FleetMethod.SHARDED: ["-m", "gaphub"],  # the daemon chooses by size
     # The daemon has no setting for all-to-all in a large fleet, so the threshold is patched out of reach.
-    ExchangeKind.ALL_TO_ALL: ["-c", "from gaphub import __main__\n"
-                              "from gaphub.occupancy import sized\n"
-                              "sized.LARGE_FROM_WORKERS = 1 << 62\n"
-                              "raise SystemExit(__main__.main())"],
+    FleetMethod.ALL_TO_ALL: ["-c", "from gaphub import __main__\n"
+                             "from gaphub.occupancy import sized\n"
+                             "sized.LARGE_FROM_WORKERS = 1 << 62\n"
+                             "raise SystemExit(__main__.main())"],
 }
 SOCKET_LIMIT = 1_024  # of a real scheduler
 MEMORY_LIMIT_MB = 512
@@ -79,17 +79,17 @@
         self.folder = folder / self.name
         self.folder.mkdir(parents=True)
         self.process: asyncio.subprocess.Process | None = None
-        self.exchange_kind = ExchangeKind.SHARDED
+        self.exchange_method = FleetMethod.SHARDED
         self._config: dict[str, Any] = {}
 
     def configure(self, load: Load, peers: list[Address], peer_price: float, peer_messages: bool,
-                  exchange_kind: ExchangeKind = ExchangeKind.SHARDED) -> None:
-        """Writes its configuration files.
+                  exchange_method: FleetMethod = FleetMethod.SHARDED) -> None:
+        """Write its configuration files.
 
-        ``peer_messages``: whether peer messages are allowed.  ``exchange_kind``: ``ALL_TO_ALL`` keeps the process
-        from changing to the sharded exchange in a large fleet.
+        ``peer_messages``: whether peer messages are allowed.  ``exchange_method``: ``ALL_TO_ALL`` keeps the
+        process from changing to the sharded exchange in a large fleet.
         """
-        self.exchange_kind = exchange_kind
+        self.exchange_method = exchange_method
         limits = {**SETTINGS["limits"], "peerMessages": peer_messages}
         self._config = {
             "name": self.name, "listen": _format_address(self.listen), "seed": f"{self.number + 1:x}",
@@ -111,7 +111,7 @@
         temporary.replace(file)
 
     async def start(self) -> None:
-        """Starts the process."""
+        """Start the process."""
         env = {**os.environ, "LB_CONFIG": str(self.folder / "config.json"), "LB_NAME": self.name,
                "LB_FRONTS": str(self.folder / "fronts.toml"), "PYTHONPATH": str(SOURCE_TREE),
                "TMPDIR": str(self.folder)}
@@ -119,11 +119,11 @@
             env.pop(variable, None)
         with open(self.folder / "log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, *START_ARGUMENTS[self.exchange_kind], env=env, stdout=log, stderr=log,
+                sys.executable, *START_ARGUMENTS[self.exchange_method], env=env, stdout=log, stderr=log,
                 stdin=asyncio.subprocess.DEVNULL)
 
     async def wait_ready(self, workers: int) -> None:
-        """Waits until the scheduler serves and has this number of workers in its list."""
+        """Wait until the scheduler serves and has this number of workers in its list."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             if self.process is None or self.process.returncode is not None:
@@ -142,7 +142,7 @@
         """The statistics at the operators' address; ProcessError if it does not answer with 200."""
         try:
             async with asyncio.timeout(STATS_TIMEOUT_S):
-                status_line, body = await _get(self.ops, "/ops/stats")
+                status_line, body = await _http_get(self.ops, "/ops/stats")
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             raise ProcessError(f"{self.name}: {error!r}") from None
         if " 200 " not in status_line:
@@ -170,14 +170,14 @@
             raise ProcessError(f"{self.name}: {error!r}: {self.log_tail()}") from None
 
     def change_settings(self, serial: int) -> None:
-        """Writes a configuration that differs from the last one, and makes the process reload it."""
+        """Write a configuration that differs from the last one, and make the process reload it."""
         assert self.process is not None
         self._config["settings"]["limits"]["maxRetryAfter"] = 1_001.0 + serial
         self._write()
         self.process.send_signal(signal.SIGHUP)
 
     async def close(self) -> None:
-        """Kills the process and waits for its end."""
+        """Kill the process and wait for its end."""
         await _stop(self.process, kill=True)
 
 
@@ -188,7 +188,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self, plan: HollowPlan) -> None:
-        """Starts the process; returns once it is ready to send."""
+        """Start the process; return once it is ready to send."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "gaphub.lab.scale.hollow_process", cwd=SOURCE_TREE,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
@@ -215,13 +215,13 @@
         return await self._answer()
 
     async def close(self) -> None:
-        """Closes its input, at which the process exits, and waits for its end."""
+        """Close its input, at which the process exits, and wait for its end."""
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
         await _stop(self.process)
 
 
-async def _get(address: Address, path: str) -> tuple[str, bytes]:
+async def _http_get(address: Address, path: str) -> tuple[str, bytes]:
     """The status line and body of the answer to a GET request, on a connection of its own."""
     reader, writer = await asyncio.open_connection(*address)
     try:
--- a/gaphub/lab/scale/report.py
+++ b/gaphub/lab/scale/report.py
@@ -26,7 +26,7 @@
 
 
 def report(points_files: Sequence[Path], out_dir: Path, target: Target | None = None) -> ReportResult:
-    """Writes the tables and plots of the points into a directory; nothing is written if a file cannot be read."""
+    """Write the tables and plots of the points into a directory; nothing is written if a file cannot be read."""
     target = target or Target()
     points = [each for path in points_files for each in _read_file(path)]
     sorted_points = sort_points(points)
--- a/gaphub/lab/scale/runner.py
+++ b/gaphub/lab/scale/runner.py
@@ -31,7 +31,7 @@
 from .discovery import CountingAgent, Registry
 from .hollow import FleetCounters, HollowPlan
 from .in_force import measure_list_changes, measure_settings_changes
-from .points import ChangeLatency, ExchangeKind, Load, Machine, Point, SchedulerUsage, append_point
+from .points import ChangeLatency, FleetMethod, Load, Machine, Point, SchedulerUsage, append_point
 from .processes import SOURCE_TREE, HollowProcess, ProcessError, RealScheduler, hollow_address
 from .sampling import Sample, usage_between
 from .scenario import (
@@ -41,13 +41,13 @@
     Scenario,
     ScenarioError,
     descriptors_needed,
-    exchange_kind_at,
+    exchange_method_at,
     memory_needed,
     plan_points,
 )
 
 RESPONDING_WORKERS = 16  # simulated workers that listen; every list entry has the address of one of them
-MAX_UNPLAYED_SHARE = 0.05  # of a window, in simulated time that the hollow fleet may skip
+MAX_SKIPPED_SHARE = 0.05  # of a window, in simulated time that the hollow fleet may skip
 MAX_LOST_SHARE = 0.05  # of the hollow fleet's datagrams
 POINT_OVERHEAD_TIMEOUT_S = 90.0  # a point that takes longer than this beside its windows has failed
 MAX_BASELINE_WARM_UP_S = 3.0  # shorter than others, as without peer messages there are no sums to collect
@@ -68,7 +68,7 @@
 
 
 def check_machine(scenario: Scenario) -> None:
-    """Raises ScenarioError if the machine has too little memory or too few descriptors for the scenario."""
+    """Raise ScenarioError if the machine has too little memory or too few descriptors for the scenario."""
     memory = int(psutil.virtual_memory().total * MAX_MEMORY_SHARE)
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     for planned in plan_points(scenario):
@@ -82,7 +82,7 @@
 
 
 def machine() -> Machine:
-    """Describes the machine of this run."""
+    """Describe the machine of this run."""
     return Machine(os.cpu_count() or 1, psutil.virtual_memory().total // 2**20, platform.python_version())
 
 
@@ -100,7 +100,7 @@
 
 async def run(name: str, scenario: Scenario, out: Path | None,
               on_progress: ProgressCallback = lambda planned, point: None) -> list[Point]:
-    """Measures every point of a scenario; each is appended to ``out`` as soon as it is measured.
+    """Measure every point of a scenario; each is appended to ``out`` as soon as it is measured.
 
     SIGTERM and SIGINT cancel the run, even if the shell has SIGINT ignored; all processes are ended first.
     """
@@ -118,7 +118,7 @@
             point = await _measure(scenario, planned, seed, Point(
                 commit=commit, dirty=dirty, seed=seed, machine=machine(), scenario=name, sweep=planned.sweep,
                 repeat=planned.repeat, load=planned.load, seconds=scenario.seconds, schedulers=[], baseline=[],
-                way=exchange_kind_at(scenario.way, planned.load)))
+                way=exchange_method_at(scenario.way, planned.load)))
             points.append(point)
             if out is not None:
                 append_point(out, point)
@@ -130,7 +130,7 @@
 
 
 async def _measure(scenario: Scenario, planned: PlannedPoint, seed: int, empty: Point) -> Point:
-    """Measures one point.  A failure is recorded in the point and does not end the run."""
+    """Measure one point.  A failure is recorded in the point and does not end the run."""
     try:
         planned_s = 2 * (scenario.seconds + scenario.warm_up_s) + scenario.in_force_s
         async with asyncio.timeout(POINT_OVERHEAD_TIMEOUT_S + planned_s):
@@ -172,8 +172,8 @@
     before, after = window.sent
     elapsed_s, covered_s = after.at_s - before.at_s, after.covered_s - before.covered_s
     faults = []
-    if covered_s < (1.0 - MAX_UNPLAYED_SHARE) * elapsed_s:
-        faults.append(f"the hollow schedulers played {covered_s:.2f} s of {elapsed_s:.2f} s: "
+    if covered_s < (1.0 - MAX_SKIPPED_SHARE) * elapsed_s:
+        faults.append(f"the hollow schedulers simulated {covered_s:.2f} s of {elapsed_s:.2f} s: "
                       f"{(after.starts - before.starts) / elapsed_s:.0f} starts a second")
     sent = (after.datagrams - before.datagrams) * len(window.schedulers)
     # The real schedulers also receive from each other; each sends the same number to every peer.
@@ -195,7 +195,7 @@
         self.load = load
         self.seed = seed
         self.peer_messages = peer_messages
-        self.exchange_kind = exchange_kind_at(scenario.way, load)
+        self.exchange_method = exchange_method_at(scenario.way, load)
         self.workers = Workers(WORK_MS, seed)
         self.registry: Registry
         self.real_schedulers: list[RealScheduler] = []
@@ -204,14 +204,14 @@
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Deployment:
-        """Starts all parts; if one does not start, ends those already started."""
+        """Start all parts; if one does not start, end those already started."""
         async with self._stack:
             await self._start()
             self._stack = self._stack.pop_all()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Ends all parts."""
+        """End all parts."""
         await self._stack.aclose()
 
     async def _start(self) -> None:
@@ -229,16 +229,16 @@
         hollow = self._hollow_addresses()
         peers = [scheduler.peer_listen for scheduler in self.real_schedulers] + hollow
         for scheduler in self.real_schedulers:
-            scheduler.configure(load, peers, self.scenario.peer_price, self.peer_messages, self.exchange_kind)
+            scheduler.configure(load, peers, self.scenario.peer_price, self.peer_messages, self.exchange_method)
             stack.push_async_callback(scheduler.close)
             await scheduler.start()
         # Sharded: a scheduler that receives nothing for some rounds takes all peers to be dead.
-        if self.exchange_kind is ExchangeKind.SHARDED:
+        if self.exchange_method is FleetMethod.SHARDED:
             await self._start_hollow(hollow)
         for scheduler in self.real_schedulers:
             await scheduler.wait_ready(load.workers)
         # All to all: the hollow schedulers send their first snapshots at once, so the real ones must be ready.
-        if self.exchange_kind is ExchangeKind.ALL_TO_ALL:
+        if self.exchange_method is FleetMethod.ALL_TO_ALL:
             await self._start_hollow(hollow)
         for scheduler in self.real_schedulers:
             self._start_client(scheduler)
@@ -256,7 +256,7 @@
         return HollowPlan(
             listen, [scheduler.peer_listen for scheduler in self.real_schedulers], load.schedulers, load.workers,
             load.starts_per_s * hollow_share, round(load.tasks_running * hollow_share),
-            self.scenario.warm_up_s / 2, self.seed, self.exchange_kind)
+            self.scenario.warm_up_s / 2, self.seed, self.exchange_method)
 
     def _start_client(self, scheduler: RealScheduler) -> None:
         requests_per_s = min(self.load.starts_per_s / self.load.schedulers, self.scenario.requests_most_per_s)
@@ -266,12 +266,12 @@
         clients.start()
 
     async def warm_up(self) -> None:
-        """Waits until the effects of the start have passed."""
+        """Wait until the effects of the start have passed."""
         warm_up_s = self.scenario.warm_up_s
         await asyncio.sleep(warm_up_s if self.peer_messages else min(warm_up_s, MAX_BASELINE_WARM_UP_S))
 
     async def measure_window(self, seconds: float, changes_per_s: float = 0.0) -> Window:
-        """Measures one window, with list changes at the rate ``changes_per_s``."""
+        """Measure one window, with list changes at the rate ``changes_per_s``."""
         churn = asyncio.create_task(self.registry.churn(changes_per_s))
         try:
             sent = await self._fleet_counters()
@@ -292,15 +292,15 @@
             sum(after.counter("peers.dropped") - before.counter("peers.dropped") for _, before, after in pairs))
 
     async def with_ages(self, schedulers: list[SchedulerUsage]) -> list[SchedulerUsage]:
-        """Adds the age of the sums in use.  The query costs the schedulers CPU time, so it is after the window."""
-        if self.exchange_kind is not ExchangeKind.SHARDED:
+        """Add the age of the sums in use.  The query costs the schedulers CPU time, so it is after the window."""
+        if self.exchange_method is not FleetMethod.SHARDED:
             return schedulers
         statuses = [await scheduler.occupancy() for scheduler in self.real_schedulers]
         return [replace(scheduler, age_p50_ms=s.age_p50_ms, age_p99_ms=s.age_p99_ms)
                 for scheduler, s in zip(schedulers, statuses, strict=True)]
 
     async def restore_list(self) -> None:
-        """Adds all removed workers to the list again, and waits until all real schedulers have them."""
+        """Add all removed workers to the list again, and wait until all real schedulers have them."""
         self.registry.relist_all()
         for scheduler in self.real_schedulers:
             await scheduler.wait_ready(self.load.workers)
--- a/gaphub/lab/scale/scenario.py
+++ b/gaphub/lab/scale/scenario.py
@@ -16,7 +16,7 @@
 
 from ...config import MAX_LIST_ENTRIES
 from ...occupancy.sized import LARGE_FROM_PEERS, LARGE_FROM_WORKERS
-from .points import ExchangeKind, Load
+from .points import FleetMethod, Load
 
 MAX_REAL_SCHEDULERS = 8  # scheduler processes
 MAX_SCHEDULERS = 4_000  # the hollow fleet binds an address, and needs a descriptor, for each
@@ -33,8 +33,8 @@
     """A scenario cannot be run; the message names the faulty key."""
 
 
-class ExchangeChoice(Enum):
-    """How the occupancy exchange of the schedulers is chosen."""
+class MethodChoice(Enum):
+    """How the method of the occupancy exchange is chosen."""
 
     BY_SIZE = "by size"  # the daemon's own rule
     ALL_TO_ALL = "all to all"  # at any size, for comparison
@@ -63,7 +63,7 @@
     seed: int = 1
     peer_price: float = 0.0  # deductions.peer in the settings; above 0 a large fleet sends no peer messages
     requests_most_per_s: float = 20.0  # cap on a real scheduler's share of the starts, as sent by its client
-    way: ExchangeChoice = ExchangeChoice.BY_SIZE
+    way: MethodChoice = MethodChoice.BY_SIZE
     in_force_s: float = 4.0  # how long changes are made in the phase that measures when they are in force
 
 
@@ -76,7 +76,7 @@
 
 
 def read_scenario(path: Path, overrides: Sequence[str] = ()) -> Scenario:
-    """Reads and validates the scenario of a file, with ``key=value`` overrides."""
+    """Read and validate the scenario of a file, with ``key=value`` overrides."""
     try:
         document = msgspec.toml.decode(path.read_bytes())
     except OSError as error:
@@ -91,7 +91,7 @@
     except msgspec.ValidationError as error:
         message, _, where = str(error).partition(" - at `$.")
         raise ScenarioError(f"{where.rstrip('`') or path}: {message}") from None
-    check(scenario)
+    validate(scenario)
     return scenario
 
 
@@ -113,7 +113,7 @@
 
 
 def _refuse_unknown(document: dict[str, Any]) -> None:
-    """Names an unknown key by its full path; msgspec names only the section."""
+    """Name an unknown key by its full path; msgspec names only the section."""
     sections: dict[str, tuple[dict[str, Any], tuple[str, ...]]] = {"": (document, Scenario.__struct_fields__)}
     for name, keys in (("load", Load.__struct_fields__), ("sweeps", Sweeps.__struct_fields__)):
         body = document.get(name, {})
@@ -131,8 +131,8 @@
         raise ScenarioError(f"{key}: {message}")
 
 
-def check(scenario: Scenario) -> None:
-    """Rejects values that no run can have."""
+def validate(scenario: Scenario) -> None:
+    """Reject values that no run can have."""
     _require(2 <= scenario.real_schedulers <= MAX_REAL_SCHEDULERS, "real_schedulers",
              f"must be from 2 to {MAX_REAL_SCHEDULERS}")
     _require(0.5 <= scenario.seconds <= 60.0, "seconds", "must be from 0.5 to 60")
@@ -141,16 +141,16 @@
     _require(0.5 <= scenario.in_force_s <= 60.0, "in_force_s", "must be from 0.5 to 60")
     _require(scenario.peer_price >= 0.0, "peer_price", "must not be negative")
     _require(0.0 <= scenario.requests_most_per_s <= 200.0, "requests_most_per_s", "must be from 0 to 200")
-    _check_load(scenario, scenario.load, {})
+    _validate_load(scenario, scenario.load, {})
     for planned in plan_points(scenario):
         _require(planned.sweep != SETTINGS_SWEEP or planned.load.changes_per_s <= MAX_SETTINGS_CHANGES_PER_S,
                  f"sweeps.{SETTINGS_SWEEP}", f"must be at most {MAX_SETTINGS_CHANGES_PER_S:g}")
-        _check_load(scenario, planned.load, {swept_key(planned.sweep): f"sweeps.{planned.sweep}"})
+        _validate_load(scenario, planned.load, {swept_key(planned.sweep): f"sweeps.{planned.sweep}"})
     _require(bool(list(plan_points(scenario))), "sweeps", "names no point")
 
 
-def _check_load(scenario: Scenario, load: Load, names: dict[str, str]) -> None:
-    """Rejects an impossible load.  ``names``: the names of keys in errors, where they are not of ``[load]``."""
+def _validate_load(scenario: Scenario, load: Load, names: dict[str, str]) -> None:
+    """Reject an impossible load.  ``names``: the names of keys in errors, where they are not of ``[load]``."""
 
     def require(condition: bool, key: str, message: str) -> None:
         _require(condition, names.get(key, f"load.{key}"), message)
@@ -181,10 +181,10 @@
                 yield PlannedPoint(sweep, load, repeat)
 
 
-def exchange_kind_at(way: ExchangeChoice, load: Load) -> ExchangeKind:
-    """The occupancy exchange at a load: by the daemon's own rule, unless the scenario overrides it."""
+def exchange_method_at(choice: MethodChoice, load: Load) -> FleetMethod:
+    """The method of the occupancy exchange at a load: by the daemon's rule, unless the scenario overrides it."""
     large = load.workers >= LARGE_FROM_WORKERS and load.schedulers - 1 >= LARGE_FROM_PEERS
-    return ExchangeKind.SHARDED if large and way is ExchangeChoice.BY_SIZE else ExchangeKind.ALL_TO_ALL
+    return FleetMethod.SHARDED if large and choice is MethodChoice.BY_SIZE else FleetMethod.ALL_TO_ALL
 
 
 def memory_needed(scenario: Scenario, load: Load) -> int:
--- a/gaphub/lab/scale/series.py
+++ b/gaphub/lab/scale/series.py
@@ -9,7 +9,7 @@
 from .budget import Comparison, Target
 from .fit import Estimate, FitError, Line, fit_line
 from .measures import CONTROL_CPU, SWEPT_KEYS, Measure, SweptKey, baseline_fault, measures_of, unusable_reason
-from .points import ExchangeKind, Load, Point
+from .points import FleetMethod, Load, Point
 
 
 @dataclass(frozen=True)
@@ -62,8 +62,8 @@
     @property
     def name(self) -> str:
         """The name of the series in file names."""
-        way = "" if self.sweep.way is ExchangeKind.ALL_TO_ALL else f"-{self.sweep.way.value}"
-        name = f"{self.sweep.scenario}{way}-{self.sweep.swept.key}-{self.measure.key}"
+        suffix = "" if self.sweep.method is FleetMethod.ALL_TO_ALL else f"-{self.sweep.method.value}"
+        name = f"{self.sweep.scenario}{suffix}-{self.sweep.swept.key}-{self.measure.key}"
         return re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
 
     def missed_changes(self) -> int:
@@ -92,18 +92,18 @@
 
 @dataclass
 class Sweep:
-    """The usable points of one scenario and occupancy exchange that vary one key of the load."""
+    """The usable points of one scenario and exchange method that vary one key of the load."""
 
     scenario: str
     swept: SweptKey
-    way: ExchangeKind = ExchangeKind.ALL_TO_ALL
+    method: FleetMethod = FleetMethod.ALL_TO_ALL
     points: list[SourcedPoint] = field(default_factory=list)
 
     @property
     def title(self) -> str:
         """The heading of the sweep."""
-        way = "" if self.way is ExchangeKind.ALL_TO_ALL else f", {self.way.value}"
-        return f"{self.scenario}{way}: {self.swept.title}"
+        suffix = "" if self.method is FleetMethod.ALL_TO_ALL else f", {self.method.value}"
+        return f"{self.scenario}{suffix}: {self.swept.title}"
 
     def x(self, point: Point) -> float:
         """The value of the swept key at a point."""
@@ -143,8 +143,8 @@
 
 
 def sort_points(points: Iterable[SourcedPoint]) -> SortedPoints:
-    """Groups points into sweeps, ordered by scenario, occupancy exchange and key of the load."""
-    sweeps: dict[tuple[str, str, ExchangeKind], Sweep] = {}
+    """Group points into sweeps, ordered by scenario, exchange method and key of the load."""
+    sweeps: dict[tuple[str, str, FleetMethod], Sweep] = {}
     failed = []
     for each in points:
         reason = unusable_reason(each.point)
@@ -156,7 +156,7 @@
         sweep.points.append(each)
     key_order = list(SWEPT_KEYS)
     ordered = sorted(sweeps.values(),
-                     key=lambda sweep: (sweep.scenario, sweep.way.value, key_order.index(sweep.swept.key)))
+                     key=lambda sweep: (sweep.scenario, sweep.method.value, key_order.index(sweep.swept.key)))
     return SortedPoints(tuple(ordered), tuple(failed))
 
 
--- a/gaphub/lab/scale/tables.py
+++ b/gaphub/lab/scale/tables.py
@@ -16,25 +16,25 @@
 
 
 def format_number(value: float) -> str:
-    """Formats with three significant digits, and as a whole number from ``NO_DECIMALS_FROM`` on."""
+    """Format with three significant digits, and as a whole number from ``NO_DECIMALS_FROM`` on."""
     if abs(value) >= NO_DECIMALS_FROM:
         return f"{value:,.0f}"
     return f"{value + 0.0:.3g}"  # adding 0.0 turns -0.0 into 0.0
 
 
 def format_load(value: float) -> str:
-    """Formats a load with more digits: it identifies points, so two loads must not be rounded to the same text."""
+    """Format a load with more digits: it identifies points, so two loads must not be rounded to the same text."""
     return f"{value:,.6g}" if abs(value) < 1e6 else f"{value:,.0f}"
 
 
 def format_estimate(estimate: Estimate, scale: float = 1.0) -> str:
-    """Formats a value with its confidence interval."""
+    """Format a value with its confidence interval."""
     value, low, high = (format_number(each * scale) for each in (estimate.value, estimate.low, estimate.high))
     return f"{value} ({low} to {high})"
 
 
 def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Formats a Markdown table."""
+    """Format a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(_escape_cell(cell) for cell in line) + " |" for line in lines)
 
@@ -232,7 +232,7 @@
 
 
 def _ranking_section(series: Sequence[Series], target: Target) -> str:
-    """Ranks all budgeted figures at the target, the worst first; those without a fitted line come last."""
+    """Rank all budgeted figures at the target, the worst first; those without a fitted line come last."""
     compared = {comparison: each for each in series if (comparison := each.comparison(target)) is not None}
     rows = []
     for comparison in rank_by_factor(compared):
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -269,13 +269,13 @@
 
 
 def test_a_call_counts_together_with_its_answer() -> None:
-    """Guards against counting a request without its answer, when a window ends while the request waits.
+    """Guard against counting a request without its answer, when a window ends while the request waits.
 
     A window that began just after an answer and ended while a request waited held two requests and one answer:
     140 bytes sent to discovery and 78 received, so the check that answers are larger failed.  Of 60 windows of
     1.2 s at different moments one was affected.
     """
-    async def play() -> None:
+    async def check() -> None:
         registry = Registry(20, 4, [("127.0.0.1", 9)], 1)
         agent = CountingAgent(registry)
         await agent.open()
@@ -296,7 +296,7 @@
             writer.close()
             agent.close()
 
-    asyncio.run(play())
+    asyncio.run(check())
 
 
 def _request(target: str) -> bytes:
@@ -304,7 +304,7 @@
 
 
 async def _call(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, target: str) -> bytes:
-    """Sends one request; returns the full answer, head and body."""
+    """Send one request; return the full answer, head and body."""
     writer.write(_request(target))
     head = await reader.readuntil(b"\r\n\r\n")
     return head + await reader.readexactly(int(head.lower().partition(b"content-length:")[2].split()[0]))
@@ -388,8 +388,8 @@
     # the same at both loads.
     expected = 2 * (400.0 - 100.0) * 5 / 7 * 2
     assert rates[1] - rates[0] == pytest.approx(expected, rel=0.25)
-    came = [sum(m.peer_in_bytes for m in p.schedulers) for p in (few, many)]
-    assert 2.0 < came[1] / came[0] < 4.5
+    received_bytes = [sum(m.peer_in_bytes for m in p.schedulers) for p in (few, many)]
+    assert 2.0 < received_bytes[1] / received_bytes[0] < 4.5
 
 
 def test_changes_of_the_list_and_of_the_settings_come_into_force_within_the_promise(points: list[Point]) -> None:
@@ -407,7 +407,7 @@
 
 
 def test_bytes_in_agree_with_what_the_others_sent() -> None:
-    async def play() -> None:
+    async def check() -> None:
         load = msgspec.structs.replace(LOAD, starts_per_s=300.0)
         async with runner.Deployment(SMALL, load, 5, peer_messages=True) as deployment:
             await deployment.warm_up()
@@ -422,7 +422,7 @@
         assert after.running == before.running
         assert after.unsent == 0
 
-    asyncio.run(play())
+    asyncio.run(check())
 
 
 def test_a_window_whose_load_was_not_played_is_unsound() -> None:
@@ -435,7 +435,7 @@
         return runner.Window(10.0, [usage], sent, dropped)
 
     assert runner.unsound_reason(window(9.9, 990), 7) == ""
-    assert "played 9.00 s of 10.00 s" in runner.unsound_reason(window(9.0, 990), 7)
+    assert "simulated 9.00 s of 10.00 s" in runner.unsound_reason(window(9.0, 990), 7)
     assert "900 of the hollow schedulers' 1000" in runner.unsound_reason(window(9.9, 900), 7)
     # Of 1,000 sent to each of two schedulers, each received 900, and 90 more from the other real scheduler.
     usage = SchedulerUsage("n0", 0.1, 60.0, 0, 0, 990, 90 * 6, 0, 0, 0)
@@ -453,11 +453,11 @@
     started: list[RealScheduler | HollowProcess] = []
     start_real, start_hollow, warm_up = RealScheduler.start, HollowProcess.start, runner.Deployment.warm_up
 
-    async def real(self: RealScheduler) -> None:
+    async def start_and_record_real(self: RealScheduler) -> None:
         await start_real(self)
         started.append(self)
 
-    async def hollow(self: HollowProcess, plan: HollowPlan) -> None:
+    async def start_and_record_hollow(self: HollowProcess, plan: HollowPlan) -> None:
         broken = msgspec.structs.replace(plan, listen=plan.listen[:1] * 2)  # two sockets at one address
         await start_hollow(self, broken if fault == "the hollow fleet" else plan)
         started.append(self)
@@ -471,8 +471,8 @@
 
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr("tempfile.tempdir", None)
-    monkeypatch.setattr(RealScheduler, "start", real)
-    monkeypatch.setattr(HollowProcess, "start", hollow)
+    monkeypatch.setattr(RealScheduler, "start", start_and_record_real)
+    monkeypatch.setattr(HollowProcess, "start", start_and_record_hollow)
     monkeypatch.setattr(runner.Deployment, "warm_up", failing_warm_up)
     scenario = msgspec.structs.replace(SMALL, sweeps=Sweeps(workers=[64]))
     (point,) = asyncio.run(runner.run("small", scenario, None))
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -12,8 +12,8 @@
 from gaphub.lab.scale import runner
 from gaphub.lab.scale.hollow import HollowPlan, worker_name, worker_number
 from gaphub.lab.scale.hollow_sharded import ShardedFleet
-from gaphub.lab.scale.points import ExchangeKind, Load, Machine, Point, SchedulerUsage
-from gaphub.lab.scale.scenario import ExchangeChoice, Scenario, Sweeps, exchange_kind_at
+from gaphub.lab.scale.points import FleetMethod, Load, Machine, Point, SchedulerUsage
+from gaphub.lab.scale.scenario import MethodChoice, Scenario, Sweeps, exchange_method_at
 from gaphub.lab.scale.series import SourcedPoint, sort_points
 from gaphub.messages import worker_identity
 from gaphub.net.destinations import SOURCE
@@ -23,8 +23,7 @@
 from gaphub.occupancy.exchange import ALL_PEERS, NoExchange
 from gaphub.occupancy.sharded import DropReason, ShardedExchange
 from gaphub.occupancy.sized import LARGE_FROM_PEERS, LARGE_FROM_WORKERS, SizedExchange
-from gaphub.occupancy.status import ExchangeMethod as ReportedKind
-from gaphub.occupancy.status import OccupancyStatus, occupancy_status
+from gaphub.occupancy.status import ExchangeMethod, OccupancyStatus, occupancy_status
 from gaphub.occupancy.sums_messages import MESSAGE_BYTES_MAX, decode
 
 from .occupancy_network import measure_at_size
@@ -42,7 +41,7 @@
 
 @dataclass
 class Simulation:
-    """Simulates two real exchanges among ten hollow schedulers."""
+    """A simulation of two real exchanges among ten hollow schedulers."""
 
     fleet: ShardedFleet
     real_exchanges: list[ShardedExchange]
@@ -55,7 +54,7 @@
     steady_drops: list[int] = field(default_factory=list)  # of each real exchange, before the steady state
 
     def run(self, ms: float, rng: random.Random) -> None:
-        """Advances the simulated time; each datagram takes one step to arrive."""
+        """Advance the simulated time; each datagram takes one step to arrive."""
         ends = self.now + ms
         while self.now < ends:
             self.now += STEP_MS
@@ -85,23 +84,23 @@
         return self.fleet.shared.identities.id_of(worker_number(worker))
 
 
-def _played(seed: int = 5) -> Simulation:
+def _simulate(seed: int = 5) -> Simulation:
     rng = random.Random(seed)
     listen = [("127.1.0.1", 1 + i) for i in range(SCHEDULERS - REAL)]
     receivers = [("127.0.0.1", 1 + i) for i in range(REAL)]
     part = len(listen) / SCHEDULERS
     plan = HollowPlan(listen, receivers, SCHEDULERS, WORKERS, STARTS_PER_S * part, round(TASKS * part), 1.0, seed,
-                      ExchangeKind.SHARDED)
+                      FleetMethod.SHARDED)
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
     for one in real:
         for worker in range(WORKERS):
             one.add_worker(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
             one.record_change(0.0, worker_number(worker), float(_own_slots(one.me, worker)), True)
-    played = Simulation(ShardedFleet(plan, 0.0), real)
-    played.run(STEADY_MS, rng)
-    played.steady_drops = [sum(one.dropped.values()) for one in real]
-    played.run(8_000.0, rng)
-    return played
+    simulation = Simulation(ShardedFleet(plan, 0.0), real)
+    simulation.run(STEADY_MS, rng)
+    simulation.steady_drops = [sum(one.dropped.values()) for one in real]
+    simulation.run(8_000.0, rng)
+    return simulation
 
 
 def _own_slots(real: int, worker: int) -> int:
@@ -110,13 +109,13 @@
 
 
 @pytest.fixture(scope="module")
-def played() -> Simulation:
-    return _played()
+def simulation() -> Simulation:
+    return _simulate()
 
 
-def test_every_datagram_decodes_and_is_no_longer_than_allowed(played: Simulation) -> None:
+def test_every_datagram_decodes_and_is_no_longer_than_allowed(simulation: Simulation) -> None:
     heartbeats = 0
-    for _, _, receiver, data in played.sent_by_hollow:
+    for _, _, receiver, data in simulation.sent_by_hollow:
         if receiver == ALL_PEERS:
             assert data == bytes([HEARTBEAT_TYPE, 1])
             heartbeats += 1
@@ -127,9 +126,9 @@
     assert heartbeats > 0
 
 
-def test_real_exchanges_are_complete_and_drop_nothing_in_the_steady_state(played: Simulation) -> None:
-    for one, before in zip(played.real_exchanges, played.steady_drops, strict=True):
-        assert one.complete(played.now)
+def test_real_exchanges_are_complete_and_drop_nothing_in_the_steady_state(simulation: Simulation) -> None:
+    for one, before in zip(simulation.real_exchanges, simulation.steady_drops, strict=True):
+        assert one.complete(simulation.now)
         assert len(one.heard_members()) == SCHEDULERS - 1
         assert sum(one.dropped.values()) == before, one.dropped
         assert not one.dropped[DropReason.DISAGREES]
@@ -139,8 +138,8 @@
         assert one.refused_entries() == 0
 
 
-def test_hollow_exchanges_drop_nothing_either(played: Simulation) -> None:
-    for hollow in played.fleet.exchanges:
+def test_hollow_exchanges_drop_nothing_either(simulation: Simulation) -> None:
+    for hollow in simulation.fleet.exchanges:
         assert not hollow.dropped[DropReason.GAP]
         assert not hollow.dropped[DropReason.DISAGREES]
         assert not hollow.dropped[DropReason.LATE]
@@ -148,74 +147,75 @@
         assert not hollow._assignment.dead
 
 
-def test_what_is_believed_was_out_within_its_age(played: Simulation) -> None:
-    for one in played.real_exchanges:
+def test_what_is_believed_was_out_within_its_age(simulation: Simulation) -> None:
+    for one in simulation.real_exchanges:
         for worker in range(WORKERS):
-            age = one.age(played.now, worker_number(worker))
+            age = one.age(simulation.now, worker_number(worker))
             assert age <= one.plan.age_bound_ms
-            wire_id = played.wire_id(worker)
-            since = played.now - age - STEP_MS
-            hollow = [totals.get(wire_id, 0) for at, totals in played.totals if at >= since]
+            wire_id = simulation.wire_id(worker)
+            since = simulation.now - age - STEP_MS
+            hollow = [totals.get(wire_id, 0) for at, totals in simulation.totals if at >= since]
             other = _own_slots(1 - one.me, worker)
             assert min(hollow) + other <= one.peer_slots(worker_number(worker)) <= max(hollow) + other
 
 
 def test_what_is_believed_is_all_that_is_out_once_nothing_changes() -> None:
-    played = _played(seed=6)
-    played.fleet.plan = msgspec.structs.replace(played.fleet.plan, starts_per_s=0.0)
-    played.run(played.real_exchanges[0].plan.age_bound_ms, random.Random(1))
-    for one in played.real_exchanges:
+    simulation = _simulate(seed=6)
+    simulation.fleet.plan = msgspec.structs.replace(simulation.fleet.plan, starts_per_s=0.0)
+    simulation.run(simulation.real_exchanges[0].plan.age_bound_ms, random.Random(1))
+    for one in simulation.real_exchanges:
         for worker in range(WORKERS):
-            out = played.fleet.shared.slots_out.get(played.wire_id(worker), 0)
+            out = simulation.fleet.shared.slots_out.get(simulation.wire_id(worker), 0)
             assert one.peer_slots(worker_number(worker)) == out + _own_slots(1 - one.me, worker)
 
 
-def test_hollow_schedulers_spend_what_a_real_one_spends(played: Simulation) -> None:
-    seconds = (played.now - STEADY_MS) / 1_000.0
-    received = [data for at, _, to, data in played.sent_by_hollow if at > STEADY_MS and to == 0]
-    sent = [data for at, by, to, data in played.sent_by_real if at > STEADY_MS and by == 0 and to >= REAL]
+def test_hollow_schedulers_spend_what_a_real_one_spends(simulation: Simulation) -> None:
+    seconds = (simulation.now - STEADY_MS) / 1_000.0
+    received = [data for at, _, to, data in simulation.sent_by_hollow if at > STEADY_MS and to == 0]
+    sent = [data for at, by, to, data in simulation.sent_by_real if at > STEADY_MS and by == 0 and to >= REAL]
     assert len(received) == pytest.approx(len(sent), rel=0.15)
     assert sum(map(len, received)) == pytest.approx(sum(map(len, sent)), rel=0.15)
     assert sum(map(len, received)) / seconds <= Limits().bytes_per_s
 
 
-def test_ages_are_those_among_real_schedulers(played: Simulation) -> None:
+def test_ages_are_those_among_real_schedulers(simulation: Simulation) -> None:
     among_real = measure_at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
-    ages = sorted(one.age(played.now, worker_number(w)) for one in played.real_exchanges for w in range(WORKERS))
+    ages = sorted(one.age(simulation.now, worker_number(w))
+                  for one in simulation.real_exchanges for w in range(WORKERS))
     assert ages[len(ages) // 2] == pytest.approx(among_real.age_p50_ms, rel=0.1)
     assert ages[len(ages) * 99 // 100] == pytest.approx(among_real.age_p99_ms, rel=0.15)
 
 
-def test_the_same_seed_says_the_same_in_a_large_fleet(played: Simulation) -> None:
-    assert _played().sent_by_hollow == played.sent_by_hollow
+def test_the_same_seed_says_the_same_in_a_large_fleet(simulation: Simulation) -> None:
+    assert _simulate().sent_by_hollow == simulation.sent_by_hollow
 
 
-# --- the choice of the exchange, and how it is reported ------------------------------------------------
+# --- the choice of the exchange method, and how it is reported -----------------------------------------
 
 @pytest.mark.parametrize(("workers", "schedulers", "choice", "expected"), [
-    (LARGE_FROM_WORKERS, LARGE_FROM_PEERS + 1, ExchangeChoice.BY_SIZE, ExchangeKind.SHARDED),
-    (LARGE_FROM_WORKERS - 1, LARGE_FROM_PEERS + 1, ExchangeChoice.BY_SIZE, ExchangeKind.ALL_TO_ALL),
-    (LARGE_FROM_WORKERS, LARGE_FROM_PEERS, ExchangeChoice.BY_SIZE, ExchangeKind.ALL_TO_ALL),
-    (11_000, 200, ExchangeChoice.ALL_TO_ALL, ExchangeKind.ALL_TO_ALL),
+    (LARGE_FROM_WORKERS, LARGE_FROM_PEERS + 1, MethodChoice.BY_SIZE, FleetMethod.SHARDED),
+    (LARGE_FROM_WORKERS - 1, LARGE_FROM_PEERS + 1, MethodChoice.BY_SIZE, FleetMethod.ALL_TO_ALL),
+    (LARGE_FROM_WORKERS, LARGE_FROM_PEERS, MethodChoice.BY_SIZE, FleetMethod.ALL_TO_ALL),
+    (11_000, 200, MethodChoice.ALL_TO_ALL, FleetMethod.ALL_TO_ALL),
 ])
 def test_the_hollow_fleet_speaks_as_the_daemon_would(
-        workers: int, schedulers: int, choice: ExchangeChoice, expected: ExchangeKind) -> None:
+        workers: int, schedulers: int, choice: MethodChoice, expected: FleetMethod) -> None:
     load = msgspec.structs.replace(LOAD, workers=workers, schedulers=schedulers)
-    assert exchange_kind_at(choice, load) is expected
+    assert exchange_method_at(choice, load) is expected
 
 
-def test_the_status_of_an_exchange_names_its_way(played: Simulation) -> None:
-    assert occupancy_status(NoExchange(), 0.0, []) == OccupancyStatus(ReportedKind.NONE, False)
-    assert occupancy_status(AllToAll(0.0, 3), 0.0, [1]) == OccupancyStatus(ReportedKind.ALL_TO_ALL, False)
+def test_the_status_of_an_exchange_names_its_way(simulation: Simulation) -> None:
+    assert occupancy_status(NoExchange(), 0.0, []) == OccupancyStatus(ExchangeMethod.NONE, False)
+    assert occupancy_status(AllToAll(0.0, 3), 0.0, [1]) == OccupancyStatus(ExchangeMethod.ALL_TO_ALL, False)
     sized = SizedExchange(0.0, 0, SCHEDULERS - 1)
-    assert occupancy_status(sized, 0.0, [1]) == OccupancyStatus(ReportedKind.ALL_TO_ALL, False)
+    assert occupancy_status(sized, 0.0, [1]) == OccupancyStatus(ExchangeMethod.ALL_TO_ALL, False)
     numbers = list(range(1, 1 + LARGE_FROM_WORKERS))
     sized.set_workers(0.0, dict.fromkeys(numbers, 0.0), {n: n for n in numbers})
     # No peer has been heard, so most workers have no sum.
-    assert occupancy_status(sized, 0.0, numbers) == OccupancyStatus(ReportedKind.SHARDED, False, None, None)
+    assert occupancy_status(sized, 0.0, numbers) == OccupancyStatus(ExchangeMethod.SHARDED, False, None, None)
 
 
-def _point(way: ExchangeKind, age: float | None) -> Point:
+def _point(way: FleetMethod, age: float | None) -> Point:
     usage = SchedulerUsage("n0", 0.5, 60.0, 40, 30, 4, 3, 200, 20, 7, age_p50_ms=age, age_p99_ms=age)
     return Point(commit="c", dirty=False, seed=1, machine=Machine(8, 24_000, "3.11.2"), scenario="s",
                  sweep="schedulers", repeat=0, load=LOAD, seconds=2.0, schedulers=[usage], baseline=[usage],
@@ -223,8 +223,8 @@
 
 
 def test_points_of_the_two_ways_are_sweeps_of_their_own() -> None:
-    points = [SourcedPoint(_point(ExchangeKind.SHARDED, 4_500.0), "f", 1),
-              SourcedPoint(_point(ExchangeKind.ALL_TO_ALL, None), "f", 2)]
+    points = [SourcedPoint(_point(FleetMethod.SHARDED, 4_500.0), "f", 1),
+              SourcedPoint(_point(FleetMethod.ALL_TO_ALL, None), "f", 2)]
     before, after = sort_points(points).sweeps
     assert before.title == "s: schedulers"
     assert after.title == "s, sharded: schedulers"
@@ -235,7 +235,7 @@
 
 
 def test_a_point_of_before_was_all_to_all() -> None:
-    point = _point(ExchangeKind.ALL_TO_ALL, None)
+    point = _point(FleetMethod.ALL_TO_ALL, None)
     old = msgspec.json.decode(msgspec.json.encode(point), type=dict)
     del old["way"]
     assert msgspec.convert(old, Point) == point
@@ -255,7 +255,7 @@
     window, states, schedulers = asyncio.run(_run_window(SMALL))
     assert runner.unsound_reason(window, LOAD.schedulers) == ""
     for state in states:
-        assert state.way is ReportedKind.SHARDED
+        assert state.way is ExchangeMethod.SHARDED
         assert state.complete
     for one in schedulers:
         assert one.age_p50_ms is not None
@@ -270,8 +270,8 @@
 
 
 def test_all_to_all_is_spoken_in_a_large_fleet_where_it_is_asked_for() -> None:
-    scenario = msgspec.structs.replace(SMALL, way=ExchangeChoice.ALL_TO_ALL, warm_up_s=2.0, seconds=1.5)
+    scenario = msgspec.structs.replace(SMALL, way=MethodChoice.ALL_TO_ALL, warm_up_s=2.0, seconds=1.5)
     window, states, schedulers = asyncio.run(_run_window(scenario))
     assert runner.unsound_reason(window, LOAD.schedulers) == ""
-    assert [(s.way, s.complete) for s in states] == [(ReportedKind.ALL_TO_ALL, True)] * REAL
+    assert [(s.way, s.complete) for s in states] == [(ExchangeMethod.ALL_TO_ALL, True)] * REAL
     assert [one.age_p99_ms for one in schedulers] == [None] * REAL
