--- a/gaphub/lab/scale/fit.py
+++ b/gaphub/lab/scale/fit.py
@@ -12,7 +12,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from .student import two_sided_quantile
+from .student_t import two_sided_quantile
 
 CONFIDENCE = 0.95  # level of every interval
 MIN_POINTS = 3  # any two points lie on a line, which leaves no residuals
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -32,7 +32,7 @@
 from gaphub.lab.scale.report import TABLES_FILE, report
 from gaphub.lab.scale.report_command import report_command
 from gaphub.lab.scale.series import Series, SourcedPoint, sort_points
-from gaphub.lab.scale.student import central_probability, two_sided_quantile
+from gaphub.lab.scale.student_t import central_probability, two_sided_quantile
 from gaphub.lab.scale.tables import format_load, format_number, markdown_table, render_page
 
 PLOT_BYTES_MOST = 60_000
