--- a/gaphub/lab/scale/runner.py
+++ b/gaphub/lab/scale/runner.py
@@ -28,9 +28,9 @@
 from ..clients import Clients
 from ..site import WORK_MS
 from ..world import Workers
+from .change_latency import measure_list_changes, measure_settings_changes
 from .discovery import CountingAgent, Registry
 from .hollow import FleetCounters, HollowPlan
-from .in_force import measure_list_changes, measure_settings_changes
 from .points import ChangeLatency, FleetMethod, Load, Machine, Point, SchedulerUsage, append_point
 from .processes import SOURCE_TREE, HollowProcess, ProcessError, RealScheduler, hollow_address
 from .sampling import Sample, usage_between
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -18,9 +18,9 @@
 
 from gaphub.cli import gaphub
 from gaphub.lab.scale import runner
+from gaphub.lab.scale.change_latency import CHANGE_TIMEOUT_S, ChangeTracker
 from gaphub.lab.scale.discovery import CountingAgent, Registry
 from gaphub.lab.scale.hollow import HollowFleet, HollowPlan, HollowScheduler, worker_name, worker_number
-from gaphub.lab.scale.in_force import CHANGE_TIMEOUT_S, ChangeTracker
 from gaphub.lab.scale.points import (
     ChangeLatency,
     Load,
