--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -109,11 +109,11 @@
 def test_the_target_scenario_holds_the_target_and_sweeps_each_key() -> None:
     scenario = read_scenario(TARGET)
     points = list(plan_points(scenario))
-    for sweep, most in (("workers", 11_000), ("schedulers", 400), ("starts_per_s", 2_500.0),
-                        ("tasks_running", 310_000), ("changes_per_s", 1_375 / 2)):
+    for sweep, greatest in (("workers", 11_000), ("schedulers", 400), ("starts_per_s", 2_500.0),
+                            ("tasks_running", 310_000), ("changes_per_s", 1_375 / 2)):
         swept = [getattr(p.load, sweep) for p in points if p.sweep == sweep]
         assert len(swept) >= 4
-        assert max(swept) == most
+        assert max(swept) == greatest
     for planned in points:  # each varies one key only
         key = "changes_per_s" if planned.sweep == "settings_changes_per_s" else planned.sweep
         value = getattr(planned.load, key)
@@ -195,8 +195,8 @@
 def test_what_hollow_schedulers_say_is_their_table(schedulers: int) -> None:
     fleet, messages = _simulate(_plan(schedulers, 200.0, 3_000), 4.0)
     peer_counts, now = PeerCounts(schedulers - 1), 4_000.0
-    for i, one in enumerate(fleet.schedulers):  # ends that are still held back for batching
-        messages += [(now, i, data) for data in one.encode_messages(now, DELTA)]
+    for i, scheduler in enumerate(fleet.schedulers):  # ends that are still held back for batching
+        messages += [(now, i, data) for data in scheduler.encode_messages(now, DELTA)]
     heartbeats = 0
     for at, i, data in messages:
         if data[0] == HEARTBEAT_TYPE:
@@ -208,8 +208,8 @@
     assert heartbeats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.heartbeat_slowdown) * 0.5
     # With colliding wire ids the assertions below would have to compare sums.
     assert len({wire_id(n) for n in fleet.worker_numbers}) == len(fleet.worker_numbers)
-    for i, one in enumerate(fleet.schedulers):
-        assert peer_counts.counts[i] == {wire_id(w): n for w, n in one.counts.items()}
+    for i, scheduler in enumerate(fleet.schedulers):
+        assert peer_counts.counts[i] == {wire_id(w): n for w, n in scheduler.counts.items()}
     assert sum(peer_counts.total.values()) == len(fleet.tasks) == 3_000
 
 
@@ -234,9 +234,9 @@
 
 def test_a_hollow_scheduler_tells_a_start_at_once_and_an_end_with_company() -> None:
     few, many = HollowScheduler(5), HollowScheduler(30)
-    for one in (few, many):
-        one.encode_messages(0.0, SNAPSHOT)
-        (data,) = one.change(1.0, 77, started=True)
+    for scheduler in (few, many):
+        scheduler.encode_messages(0.0, SNAPSHOT)
+        (data,) = scheduler.change(1.0, 77, started=True)
         decoded = decode(data)
         assert decoded is not None
         assert decoded[2] == {77: 1}
@@ -384,7 +384,7 @@
 def test_more_starts_are_more_datagrams_in_proportion(points: list[Point]) -> None:
     few, many = sorted(_of(points, "starts_per_s"), key=lambda p: p.load.starts_per_s)
     rates = [sum(m.peer_in_datagrams for m in p.schedulers) / p.seconds for p in (few, many)]
-    # One datagram for each start and each end; heartbeats, periodic ones and those of the other real scheduler are
+    # One datagram for each start and each end; heartbeats, ticks and the datagrams of the other real scheduler are
     # the same at both loads.
     expected = 2 * (400.0 - 100.0) * 5 / 7 * 2
     assert rates[1] - rates[0] == pytest.approx(expected, rel=0.25)
@@ -478,10 +478,10 @@
     (point,) = asyncio.run(runner.run("small", scenario, None))
     assert ("hollow fleet has ended" if fault == "the hollow fleet" else "n0") in point.failed
     assert point.schedulers == []
-    assert len([one for one in started if isinstance(one, RealScheduler)]) == 4
-    for one in started:
-        assert one.process is not None
-        assert one.process.returncode is not None
+    assert len([process for process in started if isinstance(process, RealScheduler)]) == 4
+    for process in started:
+        assert process.process is not None
+        assert process.process.returncode is not None
     assert list(tmp_path.iterdir()) == []
 
 
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -65,12 +65,12 @@
                 self.sent_by_hollow.append((self.now, scheduler, receiver, data))
                 if receiver != ALL_PEERS:
                     self.in_flight.append((REAL + scheduler, receiver, data))
-            for i, one in enumerate(self.real_exchanges):
+            for i, exchange in enumerate(self.real_exchanges):
                 if self.due[i] <= self.now:
-                    for peer, data in one.on_wakeup(self.now, self.due[i], rng.random):
+                    for peer, data in exchange.on_wakeup(self.now, self.due[i], rng.random):
                         self.sent_by_real.append((self.now, i, peer, data))
                         self.in_flight.append((i, peer, data))
-                    self.due[i] = one.take_wakeup() or self.now
+                    self.due[i] = exchange.take_wakeup() or self.now
             self.totals.append((self.now, dict(self.fleet.shared.slots_out)))
 
     def _deliver(self, sender: int, receiver: int, data: bytes, rng: random.Random) -> None:
@@ -88,17 +88,17 @@
     rng = random.Random(seed)
     listen = [("127.1.0.1", 1 + i) for i in range(SCHEDULERS - REAL)]
     receivers = [("127.0.0.1", 1 + i) for i in range(REAL)]
-    part = len(listen) / SCHEDULERS
-    plan = HollowPlan(listen, receivers, SCHEDULERS, WORKERS, STARTS_PER_S * part, round(TASKS * part), 1.0, seed,
-                      FleetMethod.SHARDED)
+    hollow_share = len(listen) / SCHEDULERS
+    plan = HollowPlan(listen, receivers, SCHEDULERS, WORKERS, STARTS_PER_S * hollow_share,
+                      round(TASKS * hollow_share), 1.0, seed, FleetMethod.SHARDED)
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
-    for one in real:
+    for exchange in real:
         for worker in range(WORKERS):
-            one.add_worker(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
-            one.record_change(0.0, worker_number(worker), float(_own_slots(one.me, worker)), True)
+            exchange.add_worker(0.0, worker_number(worker), str(worker_identity(SOURCE, worker_name(worker))))
+            exchange.record_change(0.0, worker_number(worker), float(_own_slots(exchange.me, worker)), True)
     simulation = Simulation(ShardedFleet(plan, 0.0), real)
     simulation.run(STEADY_MS, rng)
-    simulation.steady_drops = [sum(one.dropped.values()) for one in real]
+    simulation.steady_drops = [sum(exchange.dropped.values()) for exchange in real]
     simulation.run(8_000.0, rng)
     return simulation
 
@@ -127,15 +127,15 @@
 
 
 def test_real_exchanges_are_complete_and_drop_nothing_in_the_steady_state(simulation: Simulation) -> None:
-    for one, before in zip(simulation.real_exchanges, simulation.steady_drops, strict=True):
-        assert one.complete(simulation.now)
-        assert len(one.heard_members()) == SCHEDULERS - 1
-        assert sum(one.dropped.values()) == before, one.dropped
-        assert not one.dropped[DropReason.DISAGREES]
-        assert not one.dropped[DropReason.UNREADABLE]
-        assert not one.dropped[DropReason.STRANGER]
-        assert not one.dropped[DropReason.UNLISTED]
-        assert one.refused_entries() == 0
+    for exchange, before in zip(simulation.real_exchanges, simulation.steady_drops, strict=True):
+        assert exchange.complete(simulation.now)
+        assert len(exchange.heard_members()) == SCHEDULERS - 1
+        assert sum(exchange.dropped.values()) == before, exchange.dropped
+        assert not exchange.dropped[DropReason.DISAGREES]
+        assert not exchange.dropped[DropReason.UNREADABLE]
+        assert not exchange.dropped[DropReason.STRANGER]
+        assert not exchange.dropped[DropReason.UNLISTED]
+        assert exchange.refused_entries() == 0
 
 
 def test_hollow_exchanges_drop_nothing_either(simulation: Simulation) -> None:
@@ -148,25 +148,25 @@
 
 
 def test_what_is_believed_was_out_within_its_age(simulation: Simulation) -> None:
-    for one in simulation.real_exchanges:
+    for exchange in simulation.real_exchanges:
         for worker in range(WORKERS):
-            age = one.age(simulation.now, worker_number(worker))
-            assert age <= one.plan.age_bound_ms
+            age = exchange.age(simulation.now, worker_number(worker))
+            assert age <= exchange.plan.age_bound_ms
             wire_id = simulation.wire_id(worker)
             since = simulation.now - age - STEP_MS
             hollow = [totals.get(wire_id, 0) for at, totals in simulation.totals if at >= since]
-            other = _own_slots(1 - one.me, worker)
-            assert min(hollow) + other <= one.peer_slots(worker_number(worker)) <= max(hollow) + other
+            other = _own_slots(1 - exchange.me, worker)
+            assert min(hollow) + other <= exchange.peer_slots(worker_number(worker)) <= max(hollow) + other
 
 
 def test_what_is_believed_is_all_that_is_out_once_nothing_changes() -> None:
     simulation = _simulate(seed=6)
     simulation.fleet.plan = msgspec.structs.replace(simulation.fleet.plan, starts_per_s=0.0)
     simulation.run(simulation.real_exchanges[0].plan.age_bound_ms, random.Random(1))
-    for one in simulation.real_exchanges:
+    for exchange in simulation.real_exchanges:
         for worker in range(WORKERS):
             out = simulation.fleet.shared.slots_out.get(simulation.wire_id(worker), 0)
-            assert one.peer_slots(worker_number(worker)) == out + _own_slots(1 - one.me, worker)
+            assert exchange.peer_slots(worker_number(worker)) == out + _own_slots(1 - exchange.me, worker)
 
 
 def test_hollow_schedulers_spend_what_a_real_one_spends(simulation: Simulation) -> None:
@@ -180,8 +180,8 @@
 
 def test_ages_are_those_among_real_schedulers(simulation: Simulation) -> None:
     among_real = measure_at_size(SCHEDULERS, 20, WORKERS, round(2 * STARTS_PER_S), TASKS)
-    ages = sorted(one.age(simulation.now, worker_number(w))
-                  for one in simulation.real_exchanges for w in range(WORKERS))
+    ages = sorted(exchange.age(simulation.now, worker_number(w))
+                  for exchange in simulation.real_exchanges for w in range(WORKERS))
     assert ages[len(ages) // 2] == pytest.approx(among_real.age_p50_ms, rel=0.1)
     assert ages[len(ages) * 99 // 100] == pytest.approx(among_real.age_p99_ms, rel=0.15)
 
@@ -247,7 +247,7 @@
     async with runner.Deployment(scenario, scenario.load, 7, peer_messages=True) as deployment:
         await deployment.warm_up()
         window = await deployment.measure_window(scenario.seconds)
-        return (window, [await one.occupancy() for one in deployment.real_schedulers],
+        return (window, [await scheduler.occupancy() for scheduler in deployment.real_schedulers],
                 await deployment.with_ages(window.schedulers))
 
 
@@ -257,16 +257,16 @@
     for state in states:
         assert state.way is ExchangeMethod.SHARDED
         assert state.complete
-    for one in schedulers:
-        assert one.age_p50_ms is not None
-        assert one.age_p99_ms is not None
-        assert 0.0 < one.age_p50_ms <= one.age_p99_ms
+    for usage in schedulers:
+        assert usage.age_p50_ms is not None
+        assert usage.age_p99_ms is not None
+        assert 0.0 < usage.age_p50_ms <= usage.age_p99_ms
         # Heartbeats, and a burst of one second's budget, come on top of the byte budget.
-        most = Limits().bytes_per_s * (window.seconds + 1.0) + 4.0 * LOAD.schedulers * window.seconds
-        assert 0 < one.peer_in_bytes <= most
-        assert 0 < one.peer_out_bytes <= most
+        max_bytes = Limits().bytes_per_s * (window.seconds + 1.0) + 4.0 * LOAD.schedulers * window.seconds
+        assert 0 < usage.peer_in_bytes <= max_bytes
+        assert 0 < usage.peer_out_bytes <= max_bytes
         rounds = window.seconds  # one round a second
-        assert one.peer_in_datagrams >= (LOAD.schedulers - 1) * (rounds - 1.0)
+        assert usage.peer_in_datagrams >= (LOAD.schedulers - 1) * (rounds - 1.0)
 
 
 def test_all_to_all_is_spoken_in_a_large_fleet_where_it_is_asked_for() -> None:
@@ -274,4 +274,4 @@
     window, states, schedulers = asyncio.run(_run_window(scenario))
     assert runner.unsound_reason(window, LOAD.schedulers) == ""
     assert [(s.way, s.complete) for s in states] == [(ExchangeMethod.ALL_TO_ALL, True)] * REAL
-    assert [one.age_p99_ms for one in schedulers] == [None] * REAL
+    assert [usage.age_p99_ms for usage in schedulers] == [None] * REAL
