--- a/gaphub/net/gearman/session.py
+++ b/gaphub/net/gearman/session.py
@@ -31,7 +31,7 @@
     reducer: bytes = b""  # function that aggregates partial results; sent with JOB_ASSIGN_ALL
     client: int = 0  # of a scheduled job: the number of its client's session
     size: int = 0  # of a scheduled job: of its names and workload
-    running: bool = False  # or ended
+    running: bool = False  # a worker has started it, or it ended unstarted
     abandoned_at: float = 0.0  # when its last client left before it was assigned, which ends it; 0: not the case
     progress: tuple[bytes, bytes] = (b"0", b"0")
 
