--- a/tests/test_never_twice.py
+++ b/tests/test_never_twice.py
@@ -7,9 +7,9 @@
 Some jobs are held, as what a resubmission meets depends on timing.  A job that was only queued is dropped when
 its client leaves, so its resubmission is a new job; one that a worker has goes on and is joined.  The simulated
 workers answer within one iteration of the event loop and a new connection takes several, so a running job has
-usually ended by then: in a traced run, 2,766 of 2,826 clients that left had their job queued and 60 had it at a worker
-(``gearman.left_running``); of those 60 resubmissions, 59 found the recorded result and one joined the job.  In
-other runs none did, and the test failed because ``gearman.joined`` was 0 before it had checked the executions.
+usually ended by then: in a traced run, 2,766 of 2,826 clients that left had their job queued and 60 had it at a
+worker (``gearman.left_running``); of those 60 resubmissions, 59 found the recorded result and one joined the job.
+In other runs none did, and the test failed because ``gearman.joined`` was 0 before it had checked the executions.
 So workers hold some at-most-once jobs until their client has left and submitted them again: these resubmissions
 are certain to find their job running, and must join it.
 """
