--- a/gaphub/lab/model.py
+++ b/gaphub/lab/model.py
@@ -36,14 +36,14 @@
 class Tally:
     """What became of one class's requests, and how often a worker that can run it had room when one came."""
 
-    asked: int = 0
+    requests: int = 0
     served: int = 0
-    turned_away: int = 0
-    room: int = 0
+    rejected: int = 0
+    with_free_worker: int = 0
 
 
 @dataclass
-class Machine:
+class SimulatedWorker:
     """One worker."""
 
     id: int
@@ -61,25 +61,25 @@
 class Fleet:
     """All gateways and workers, and the clock that they share."""
 
-    def __init__(self, settings: Settings, loads: list[Load], machines: list[Machine], gateways: int, seed: int
-                 ) -> None:
+    def __init__(self, settings: Settings, loads: list[Load], workers: list[SimulatedWorker],
+                 schedulers: int, seed: int) -> None:
         """``settings.balancers`` is set to ``gateways``; each class has one of ``loads``."""
         self.settings = settings
         self.loads = loads
-        self.machines = {m.id: m for m in machines}
-        self.ended: list[Machine] = []  # former lives of those that were restarted
+        self.workers = {m.id: m for m in workers}
+        self.ended: list[SimulatedWorker] = []  # former lives of those that were restarted
         self.now = 1000.0
         self.rng = random.Random(seed)
-        self.pace = 1.0  # times the rates of the loads
+        self.rate_factor = 1.0  # times the rates of the loads
         self.seed = seed
         self.tallies = [Tally() for _ in loads]
         self.mean_work = sum(x.per_s * x.work_ms * x.slots for x in loads) / sum(x.per_s for x in loads)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = 0
-        for m in machines:
+        for m in workers:
             m.free = m.slots
-        self.gateways = [Gateway(self, i, seed * 1000 + i) for i in range(gateways)]
-        self._lives = gateways  # of gateways so far
+        self.schedulers = [SimulatedScheduler(self, i, seed * 1000 + i) for i in range(schedulers)]
+        self._lives = schedulers  # of gateways so far
         for c, load in enumerate(loads):
             self._next(c, load)
 
@@ -99,15 +99,16 @@
     def _next(self, c: int, load: Load) -> None:
         def come() -> None:
             tally = self.tallies[c]
-            tally.asked += 1
-            tally.room += any(m.alive and self.settings.classes[c].kind in (-1, m.kind) and m.free >= load.slots
-                              and not m.queue for m in self.machines.values())
-            self.rng.choice(self.gateways).ask(c, load)
+            tally.requests += 1
+            tally.with_free_worker += any(
+                m.alive and self.settings.classes[c].kind in (-1, m.kind) and m.free >= load.slots
+                and not m.queue for m in self.workers.values())
+            self.rng.choice(self.schedulers).ask(c, load)
             self._next(c, load)
 
-        self.at(self.rng.expovariate(self.pace * load.per_s / 1000.0), come)
+        self.at(self.rng.expovariate(self.rate_factor * load.per_s / 1000.0), come)
 
-    def warmth(self, m: Machine) -> float:
+    def warmth(self, m: SimulatedWorker) -> float:
         """The present part of a machine's speed."""
         s = self.settings
         if not m.started:
@@ -116,43 +117,43 @@
 
     def tell(self, entries: list[ListedWorker]) -> None:
         """Discovery tells all gateways of changes."""
-        for g in self.gateways:
+        for g in self.schedulers:
             g.balancer.on_workers(self.now, ListKind.CHANGES, entries)
 
-    def replace(self, part: float) -> None:
+    def replace_workers(self, part: float) -> None:
         """So many of the workers go, and as many come cold under other ids; all gateways are told at once."""
-        gone = self.rng.sample(sorted(self.machines), round(part * len(self.machines)))
+        gone = self.rng.sample(sorted(self.workers), round(part * len(self.workers)))
         entries = []
         for wid in gone:
-            old = self.machines.pop(wid)
+            old = self.workers.pop(wid)
             new = self._successor(old, self.rng.randrange(1, 2**31))
             entries += [listed(old, 0), listed(new, 1)]
         self.tell(entries)
 
-    def _successor(self, old: Machine, ident: int) -> Machine:
+    def _successor(self, old: SimulatedWorker, ident: int) -> SimulatedWorker:
         """A machine like one that ends now, cold."""
         old.alive = False
-        new = Machine(ident, old.kind, old.zone, old.slots, self.now, old.slots, old.speed)
-        self.machines[ident] = new
+        new = SimulatedWorker(ident, old.kind, old.zone, old.slots, self.now, old.slots, old.speed)
+        self.workers[ident] = new
         return new
 
     def restart_workers(self, workers: list[int]) -> None:
         """Workers end and come back cold under the same ids; all gateways are told at once."""
         entries = []
         for wid in workers:
-            old = self.machines[wid]
+            old = self.workers[wid]
             self.ended.append(old)
             entries.append(listed(self._successor(old, wid), 1))
         self.tell(entries)
 
-    def restart_gateways(self, numbers: list[int]) -> None:
+    def restart_schedulers(self, numbers: list[int]) -> None:
         """Gateways end and start again, with the list as it is and nothing else; what they had out runs on."""
         for number in numbers:
-            self.gateways[number].over = True
-            self.gateways[number] = Gateway(self, number, self.seed * 1000 + self._lives)
+            self.schedulers[number].over = True
+            self.schedulers[number] = SimulatedScheduler(self, number, self.seed * 1000 + self._lives)
             self._lives += 1
 
-    def worst_rush(self) -> float:
+    def peak_cold_load(self) -> float:
         """The most that any cold worker was sent in ``fall_ms``, as a part of what the rule lets it bear.
 
         With N what it can do in that time, ``fall_multiple`` times: N + 2 x root of N + 2, and below 30 mean
@@ -160,7 +161,7 @@
         """
         worst = 0.0
         s = self.settings
-        for m in [*self.machines.values(), *self.ended]:
+        for m in [*self.workers.values(), *self.ended]:
             for i, (began, _) in enumerate(m.sent):
                 age = (began - m.started) / s.cold_ms
                 rate = m.slots * m.speed * min(1.0, s.cold_from + (1 - s.cold_from) * age) / self.mean_work
@@ -171,12 +172,12 @@
         return worst
 
 
-def listed(m: Machine, state: int) -> ListedWorker:
+def listed(m: SimulatedWorker, state: int) -> ListedWorker:
     """A machine as discovery names it."""
     return ListedWorker(state, m.kind, 0, 1.0, m.zone, m.id, m.started)
 
 
-class Gateway:
+class SimulatedScheduler:
     """One Balancer and the actions that it takes."""
 
     def __init__(self, fleet: Fleet, me: int, seed: int) -> None:
@@ -188,7 +189,7 @@
         self.over = False  # its process has ended
         settings = replace(fleet.settings, me=me)
         self.balancer = Balancer(fleet.now, settings, seed, self)
-        self.balancer.on_workers(fleet.now, ListKind.CACHED, [listed(m, 1) for m in fleet.machines.values()])
+        self.balancer.on_workers(fleet.now, ListKind.CACHED, [listed(m, 1) for m in fleet.workers.values()])
 
     def ask(self, c: int, load: Load) -> None:
         """A client's request."""
@@ -205,7 +206,7 @@
 
     def _arrive(self, request: int, index: int, worker: int, sent_at: float) -> None:
         fleet, load = self.fleet, self.asked[request][1]
-        m = fleet.machines.get(worker)
+        m = fleet.workers.get(worker)
         if m is None:
             return self._end(request, index, Status.CONNECT_FAILED, sent_at)
         work = load.work_ms * fleet.rng.uniform(0.7, 1.3)
@@ -241,7 +242,7 @@
 
     def _give_up(self, request: int) -> None:
         if request in self.asked:
-            self.fleet.tallies[self.asked.pop(request)[0]].turned_away += 1
+            self.fleet.tallies[self.asked.pop(request)[0]].rejected += 1
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         """Turned away."""
@@ -265,7 +266,7 @@
     def probe(self, worker: int) -> None:
         """Answered as the worker stands when it comes: its free slots, its queue, and the slots in use."""
         def look() -> None:
-            m = self.fleet.machines.get(worker)
+            m = self.fleet.workers.get(worker)
             report = () if m is None else (float(m.free), float(len(m.queue)), float(m.slots - m.free))
             status = Status.OK if m is not None else Status.CONNECT_FAILED
             self.fleet.at(TRAVEL_MS, lambda: self.balancer.on_probe_result(
@@ -278,7 +279,7 @@
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Datagrams arrive after a while."""
-        for i, g in enumerate(self.fleet.gateways):
+        for i, g in enumerate(self.fleet.schedulers):
             if g is not self and peer in (-1, i):
                 self.fleet.at(3.0, partial(g.hear, self.me, data))
 
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -14,7 +14,7 @@
 
 from gaphub.cold_start import phase_of
 from gaphub.interface import ClassSettings, Effect, Settings
-from gaphub.lab.model import Fleet, Load, Machine
+from gaphub.lab.model import Fleet, Load, SimulatedWorker
 from gaphub.messages import worker_identity
 
 SCHEDULERS = 30
@@ -40,31 +40,31 @@
                         cold_ms=COLD_MS, cold_from=0.3, fall_ms=1_000.0, max_attempts=4, second_copies=False,
                         report_fields=("free_slots", "queue", "inflight"), reports_in_answers=True)
     kinds = [i * len(SPEEDS) // WORKERS for i in range(WORKERS)]
-    machines = [Machine(i + 1, kind, 0, SLOTS, 0.0, speed=SPEEDS[kind]) for i, kind in enumerate(kinds)]
+    machines = [SimulatedWorker(i + 1, kind, 0, SLOTS, 0.0, speed=SPEEDS[kind]) for i, kind in enumerate(kinds)]
     return Fleet(settings, loads, machines, schedulers, seed)
 
 
 def a_burst_after_a_quiet_time(fleet: Fleet) -> None:
-    fleet.pace = QUIET_PACE
+    fleet.rate_factor = QUIET_PACE
     fleet.restart_workers(RESTARTED)
     fleet.run(QUIET_MS)
-    fleet.pace = BURST_PACE
+    fleet.rate_factor = BURST_PACE
     fleet.run(3_000.0)
 
 
 def workers_that_restart_twice(fleet: Fleet) -> None:
-    fleet.pace = 2.0
+    fleet.rate_factor = 2.0
     for pause_ms in (700.0, 1_300.0, 4_000.0):
         fleet.restart_workers(RESTARTED)
         fleet.run(pause_ms)
 
 
 def a_restart_of_all_schedulers(fleet: Fleet) -> None:
-    fleet.pace = 2.0
+    fleet.rate_factor = 2.0
     fleet.restart_workers(RESTARTED)
     for pause_ms in (700.0, 900.0, 4_000.0):
         fleet.run(pause_ms)
-        fleet.restart_gateways(list(range(len(fleet.gateways))))
+        fleet.restart_schedulers(list(range(len(fleet.schedulers))))
     fleet.run(2_000.0)
 
 
@@ -87,6 +87,6 @@
     fleet = fleet_of(schedulers, 7)
     fleet.run(4_000.0)
     scenario(fleet)
-    peak_load = fleet.worst_rush()
+    peak_load = fleet.peak_cold_load()
     print(f"{scenario.__name__}, {schedulers} schedulers: {peak_load:.2f} of what is allowed")
     assert 0.0 < peak_load <= 1.0
--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -13,7 +13,7 @@
 
 from gaphub.config import Address
 from gaphub.interface import ClassSettings, Effect, Settings
-from gaphub.lab.model import Fleet, Load, Machine, Tally
+from gaphub.lab.model import Fleet, Load, SimulatedWorker, Tally
 
 from . import fleet as processes
 from .processes import job
@@ -44,7 +44,7 @@
     """Six seconds with warm workers, then the replacement; tallies and peak load of the next nine seconds."""
     kinds = 1 + max((i + 1 for i, spec in enumerate(classes) if spec.dedicated), default=0)
     machine_count = max(12, 4 * kinds * zones)
-    machines = [Machine(i + 1, i % kinds, i // kinds % zones, 8, 0.0) for i in range(machine_count)]
+    machines = [SimulatedWorker(i + 1, i % kinds, i // kinds % zones, 8, 0.0) for i in range(machine_count)]
     per_kind = len(machines) / kinds * 8  # slots of a kind
     rows, loads = [], []
     for i, spec in enumerate(classes):
@@ -62,9 +62,9 @@
     fleet = Fleet(run_settings, loads, machines, schedulers, seed)
     fleet.run(6000.0)
     fleet.tallies = [Tally() for _ in loads]
-    fleet.replace(replaced_share)
+    fleet.replace_workers(replaced_share)
     fleet.run(9000.0)
-    return fleet.tallies, fleet.worst_rush()
+    return fleet.tallies, fleet.peak_cold_load()
 
 
 HEAVY = ClassSpec(5.0, 400.0, 8, True, Effect.UNSAFE, 1.0)
@@ -87,8 +87,8 @@
     tallies, peak_load = simulate(classes, zones, replaced_share, schedulers, load, peers_tell, seed)
     assert peak_load <= 1.0
     for spec, tally in zip(classes, tallies, strict=True):
-        if tally.asked >= 20 and tally.room >= 0.5 * tally.asked:
-            assert tally.served >= SHARE * tally.asked, (spec, tally)
+        if tally.requests >= 20 and tally.with_free_worker >= 0.5 * tally.requests:
+            assert tally.served >= SHARE * tally.requests, (spec, tally)
 
 
 def test_no_class_starves_that_is_a_small_part_of_the_load_of_one_scheduler() -> None:
@@ -98,16 +98,16 @@
     tallies, peak_load = simulate(classes, 1, 1.0, 1, 0.3, False, 2)
     assert peak_load <= 1.0
     for spec, tally in zip(classes, tallies, strict=True):
-        if tally.asked >= 20 and tally.room >= 0.5 * tally.asked:
-            assert tally.served >= SHARE * tally.asked, (spec, tally)
+        if tally.requests >= 20 and tally.with_free_worker >= 0.5 * tally.requests:
+            assert tally.served >= SHARE * tally.requests, (spec, tally)
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_a_heavy_class_whose_whole_kind_is_replaced_goes_on(seed: int) -> None:
     (light, heavy), peak_load = simulate([LIGHT, HEAVY], 1, 1.0, 12, 0.3, False, seed)
     assert peak_load <= 1.0
-    assert heavy.served > 0.15 * heavy.asked
-    assert light.served > 0.15 * light.asked
+    assert heavy.served > 0.15 * heavy.requests
+    assert light.served > 0.15 * light.requests
 
 
 @pytest.mark.parametrize("seed", [1, 2])
