--- a/gaphub/lab/failover.py
+++ b/gaphub/lab/failover.py
@@ -128,8 +128,8 @@
 
 def _audit(site: Site, clients: Clients, outcome: Outcome, faults: list[tuple[float, float, str]]) -> None:
     """Hold the workers' counts against the clients' rows."""
-    once = {i for i, c in site.workers.classes.items() if c != "poloha"}
-    outcome.duplicates = sum(1 for i in once if site.workers.ran[i] > 1)
+    once = {i for i, c in site.workers.class_by_request.items() if c != "poloha"}
+    outcome.duplicates = sum(1 for i in once if site.workers.executions[i] > 1)
     outcome.doubles = clients.surplus
     outcome.rows = len(clients.rows)
     outcome.endings = dict(Counter(str(r.ending) for r in clients.rows))
--- a/gaphub/lab/recovery.py
+++ b/gaphub/lab/recovery.py
@@ -162,6 +162,7 @@
     end = [r for r in rows if stopped_at - 2.0 <= r.sent < stopped_at]
     return Report(schedulers, killed, warm_per_s, back, p99,
                   sum(1 for r in after if r.ending in (429, 503)),
-                  sum(1 for r in after if r.ending not in (200, 429, 503)), len(after), pool.peak,
-                  sum(1 for ident, n in pool.ran.items() if n > 1 and pool.classes[ident] in NEVER_TWICE),
+                  sum(1 for r in after if r.ending not in (200, 429, 503)), len(after), pool.peak_running,
+                  sum(1 for ident, n in pool.executions.items()
+                      if n > 1 and pool.class_by_request[ident] in NEVER_TWICE),
                   sum(1 for r in end if r.ending == 200) / max(1, len(end)))
--- a/gaphub/lab/world.py
+++ b/gaphub/lab/world.py
@@ -27,12 +27,12 @@
 
     def __init__(self, work_ms: dict[str, float], seed: int = 1) -> None:
         self.work_ms = work_ms
-        self.ran: Counter[str] = Counter()
-        self.classes: dict[str, str] = {}
+        self.executions: Counter[str] = Counter()
+        self.class_by_request: dict[str, str] = {}
         self.addresses: list[Address] = []
-        self.running: Counter[Address] = Counter()  # jobs under way, by worker
-        self.runs: Counter[Address] = Counter()  # jobs begun, by worker
-        self.peak = 0  # the most under way at one worker at once
+        self.jobs_running: Counter[Address] = Counter()  # jobs under way, by worker
+        self.jobs_started: Counter[Address] = Counter()  # jobs begun, by worker
+        self.peak_running = 0  # the most under way at one worker at once
         self._draw = random.Random(seed)
         self._servers: list[asyncio.Server] = []
 
@@ -57,16 +57,16 @@
                     writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                     continue
                 ident, cls = headers["x-request-id"], headers["x-priority-class"]
-                self.ran[ident] += 1
-                self.classes[ident] = cls
+                self.executions[ident] += 1
+                self.class_by_request[ident] = cls
                 at = writer.get_extra_info("sockname")[:2]
-                self.running[at] += 1
-                self.runs[at] += 1
-                self.peak = max(self.peak, self.running[at])
+                self.jobs_running[at] += 1
+                self.jobs_started[at] += 1
+                self.peak_running = max(self.peak_running, self.jobs_running[at])
                 try:
                     await asyncio.sleep(self.work_ms[cls] * self._draw.uniform(0.7, 1.3) / 1000.0)
                 finally:
-                    self.running[at] -= 1
+                    self.jobs_running[at] -= 1
                 line = json.dumps({"id": ident, "state": "done", "result": f"{ident}:{len(body)}"}) + "\n"
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                              + f"{len(line):x}\r\n{line}\r\n0\r\n\r\n".encode())
@@ -84,7 +84,7 @@
         self.workers = workers
         self.version = 1
         self.address: Address = ("", 0)
-        self.watching = 0  # watches that wait now
+        self.waiting_watches = 0  # watches that wait now
         self._hushed = 0  # counts the times at which the watches that waited fell silent
         self._server: asyncio.Server | None = None
 
@@ -112,13 +112,13 @@
                     wait = float(first.partition("wait=")[2].split(" ")[0].split("&")[0] or 0)
                     hushed, version = self._hushed, self.version
                     until = asyncio.get_running_loop().time() + min(wait, 5000.0) / 1000.0
-                    self.watching += 1
+                    self.waiting_watches += 1
                     try:
                         while self._hushed > hushed or (
                                 self.version == version and asyncio.get_running_loop().time() < until):
                             await asyncio.sleep(0.02)
                     finally:
-                        self.watching -= 1
+                        self.waiting_watches -= 1
                 changed = f"index={self.version}&" not in first
                 answer: dict[str, Any] = {"version": self.version, "full": changed, "servers": [
                     {"id": f"s-{i}" if self.version == 1 else f"s-{self.version}-{i}", "addr": f"{h}:{p}",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -162,7 +162,7 @@
                     discovery.put(f"new-{i}", port)
                 await end_outage(discovery, how)
                 async with asyncio.timeout(DELIVERED_S):
-                    while not new.ran:
+                    while not new.executions:
                         await asyncio.sleep(0.02)
                 async with asyncio.timeout(WITHIN_S):
                     assert await job(listen, "newcomer") == 200
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -283,7 +283,7 @@
                 await new.ready()
                 old.end()
                 assert [await job(listen, f"r{i}") for i in range(20)] == [200] * 20
-                assert workers.runs[workers.addresses[0]] == 0
+                assert workers.jobs_started[workers.addresses[0]] == 0
             finally:
                 agent.close()
                 workers.close()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -352,8 +352,8 @@
             old.process.wait(10.0)
             assert await new.call("PUT /ops/workers/up", "s-0") == 200
             assert "ops.inherited" in await counters(listen)  # it restored the old process's state
-        assert workers.runs[workers.addresses[0]] == 0  # the disabled one
-        assert workers.runs[workers.addresses[1]] == 60
+        assert workers.jobs_started[workers.addresses[0]] == 0  # the disabled one
+        assert workers.jobs_started[workers.addresses[1]] == 60
 
     asyncio.run(play())
 
@@ -424,7 +424,7 @@
             for class_name in ("poloha", "vyuctovani"):
                 assert {kind: stats["replies"][class_name][kind] for kind in ("success", "overload", "error")} == {
                     kind: client_counts[class_name, kind] for kind in ("success", "overload", "error")}
-            assert stats["dispatches"] == sum(workers.ran.values())
+            assert stats["dispatches"] == sum(workers.executions.values())
             assert stats["concurrent"] == 0
             assert sum(client_counts.values()) == 480
             assert client_counts["poloha", "success"] > 0
@@ -453,7 +453,7 @@
             for scheduler in schedulers:
                 await scheduler.ready()
             async with asyncio.timeout(10.0):
-                while agent.watching < len(schedulers):
+                while agent.waiting_watches < len(schedulers):
                     await asyncio.sleep(0.02)
             agent.replace(after.addresses, silent=True)
             before.close()
@@ -464,7 +464,7 @@
 
             async with asyncio.timeout(15.0):  # it took 23 s when a silent watch had to time out
                 await asyncio.gather(*map(served, listens))
-            assert max(after.ran.values()) == 1  # no job ran twice
+            assert max(after.executions.values()) == 1  # no job ran twice
         finally:
             for scheduler in schedulers:
                 scheduler.process.kill()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -134,7 +134,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             print(f"{peak_mb:.0f} MB at peak")
             assert one.process.poll() is None
-            assert site.workers.ran
+            assert site.workers.executions
             assert peak_mb <= MEMORY_MB
 
     asyncio.run(run())
