--- a/gaphub/lab/answers.py
+++ b/gaphub/lab/answers.py
@@ -15,18 +15,18 @@
 
 from hdrh.histogram import HdrHistogram
 
-from .requests import Attempt, Story
+from .requests import Call, RequestRecord
 
-LATER_MS = 300.0  # after its client left nothing of a request may begin from then on
-HOLD_MS = 60_000.0  # a request that is out for longer may find its worker's keys told out of order
-CLOCKS_MS = 1_000.0  # by how much the schedulers' clocks may differ
-KEYS_MOST = 4_096  # keys of one worker that are held at once, however many it is taken to keep
-LONGEST_MS = 600_000  # a longer time counts as this
+LATE_CALL_MS = 300.0  # after its client left nothing of a request may begin from then on
+REORDER_WINDOW_MS = 60_000.0  # a request that is out for longer may find its worker's keys told out of order
+CLOCK_TOLERANCE_MS = 1_000.0  # by how much the schedulers' clocks may differ
+MAX_KEYS_PER_WORKER = 4_096  # keys of one worker that are held at once, however many it is taken to keep
+MAX_RECORDED_MS = 600_000  # a longer time counts as this
 PERCENTILES = (10.0, 50.0, 90.0, 99.0)
 WAIT_PERCENTILES = (50.0, 90.0)
 
 
-class Key(Enum):
+class KeyState(Enum):
     """Whether a worker held what a job's key needs, by the calls of all schedulers to that worker."""
 
     NONE = "-"  # the request has no key
@@ -34,48 +34,48 @@
     NEW = "new"
 
 
-class Sent(NamedTuple):
+class SentCall(NamedTuple):
     """A call, and the request that it is of."""
 
-    story: Story
-    call: Attempt
+    record: RequestRecord
+    call: Call
 
     @property
     def ran_from(self) -> float:
         """Unix time in ms at which the worker began it, as far as the line tells."""
-        return self.story.received + max(self.call.sent, self.call.started)
+        return self.record.received_at + max(self.call.sent_after, self.call.started)
 
 
-def in_order_of_start(stories: Iterable[Story]) -> Iterator[Sent]:
+def order_by_start(records: Iterable[RequestRecord]) -> Iterator[SentCall]:
     """Every call that ran, by the moment at which its worker began it."""
-    waiting: list[tuple[float, int, Sent]] = []
+    waiting: list[tuple[float, int, SentCall]] = []
     serial = 0
-    for story in stories:
-        while waiting and waiting[0][0] < story.done - HOLD_MS:
+    for record in records:
+        while waiting and waiting[0][0] < record.finished_at - REORDER_WINDOW_MS:
             yield heappop(waiting)[2]
-        for call in story.calls:
+        for call in record.calls:
             if call.ran:
-                sent = Sent(story, call)
+                sent = SentCall(record, call)
                 heappush(waiting, (sent.ran_from, serial, sent))
                 serial += 1
     while waiting:
         yield heappop(waiting)[2]
 
 
-class Kept:
+class WorkerKeys:
     """The last keys of one worker, across all schedulers."""
 
     def __init__(self, most: int) -> None:
-        self._most = most or KEYS_MOST
+        self._most = most or MAX_KEYS_PER_WORKER
         self._keys: OrderedDict[str, None] = OrderedDict()
         self._born = 0.0
 
-    def take(self, key: str, born: float) -> Key:
+    def take(self, key: str, born: float) -> KeyState:
         """Its process that started at a Unix time in ms begins a job of a key: whether it held it."""
-        if born > self._born + CLOCKS_MS:
+        if born > self._born + CLOCK_TOLERANCE_MS:
             self._born = born  # another process
             self._keys.clear()
-        found = Key.MET if key in self._keys else Key.NEW
+        found = KeyState.MET if key in self._keys else KeyState.NEW
         self._keys[key] = None
         self._keys.move_to_end(key)
         if len(self._keys) > self._most:
@@ -84,15 +84,15 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_MS, 3)
+    return HdrHistogram(1, MAX_RECORDED_MS, 3)
 
 
-def _note(histogram: HdrHistogram, ms: float) -> None:
-    histogram.record_value(min(LONGEST_MS, max(1, round(ms))))
+def _record_ms(histogram: HdrHistogram, ms: float) -> None:
+    histogram.record_value(min(MAX_RECORDED_MS, max(1, round(ms))))
 
 
 @dataclass(slots=True)
-class Times:
+class ServedTimes:
     """The times of some served requests."""
 
     answer: HdrHistogram = field(default_factory=_histogram)  # from the taking of the request to its answer
@@ -100,13 +100,13 @@
     start: HdrHistogram = field(default_factory=_histogram)  # from that byte to its start, where workers tell it
     run: HdrHistogram = field(default_factory=_histogram)  # from the start, else that byte, to the answer
 
-    def take(self, story: Story, call: Attempt) -> None:
+    def take(self, record: RequestRecord, call: Call) -> None:
         """Note one request."""
-        _note(self.answer, story.answered)
-        _note(self.byte, call.begun)
+        _record_ms(self.answer, record.answered_after)
+        _record_ms(self.byte, call.first_byte_sent)
         if call.started >= 0.0:
-            _note(self.start, call.started - call.begun)
-        _note(self.run, call.ended - max(call.started, call.begun))
+            _record_ms(self.start, call.started - call.first_byte_sent)
+        _record_ms(self.run, call.ended_at - max(call.started, call.first_byte_sent))
 
     def row(self) -> list[str]:
         """How many, and the percentiles of each."""
@@ -122,58 +122,58 @@
     class_name: str
     kind: str
     young: bool
-    key: Key
+    key: KeyState
 
 
-class Answers:
+class RequestTables:
     """All tables over one pass of a fleet's requests."""
 
     def __init__(self, young_ms: float, kept: int = 0) -> None:
         """``young_ms``: a worker that has run for less is young; ``kept``: keys that one keeps, 0: all."""
         self.young_ms = young_ms
-        self.waiting = self.later = 0
-        self._kept: defaultdict[str, Kept] = defaultdict(lambda: Kept(kept))
+        self.clients_left = self.called_after_leaving = 0
+        self._kept: defaultdict[str, WorkerKeys] = defaultdict(lambda: WorkerKeys(kept))
         self._ends: Counter[tuple[str, str, str, str]] = Counter()
         self._young: Counter[tuple[str, str, str, str]] = Counter()
         self._whole: Counter[str] = Counter()
-        self._times: defaultdict[Group, Times] = defaultdict(Times)
-        self._sent: Counter[tuple[str, Key]] = Counter()
+        self._times: defaultdict[Group, ServedTimes] = defaultdict(ServedTimes)
+        self._sent: Counter[tuple[str, KeyState]] = Counter()
 
-    def take_all(self, stories: Iterable[Story]) -> Answers:
+    def add_all(self, records: Iterable[RequestRecord]) -> RequestTables:
         """Take a fleet's requests in, in the order in which they were done with."""
-        for sent in in_order_of_start(self._noted(stories)):
+        for sent in order_by_start(self._noted(records)):
             self._take_call(sent)
         return self
 
-    def _noted(self, stories: Iterable[Story]) -> Iterator[Story]:
-        for story in stories:
-            self._take(story)
-            yield story
+    def _noted(self, records: Iterable[RequestRecord]) -> Iterator[RequestRecord]:
+        for record in records:
+            self._take(record)
+            yield record
 
-    def _take(self, story: Story) -> None:
-        values = story.values
-        row = values.get("class", ""), values.get("slots", ""), story.end, story.outcomes()
+    def _take(self, record: RequestRecord) -> None:
+        fields = record.fields
+        row = fields.get("class", ""), fields.get("slots", ""), record.end, record.outcomes()
         self._ends[row] += 1
-        self._young[row] += story.cold(self.young_ms)
+        self._young[row] += record.called_young_worker(self.young_ms)
         self._whole[row[0]] += 1
-        if "gone" in values:
-            self.waiting += 1
-            allowed = float(values["gone"]) + LATER_MS
-            self.later += any(c.begun >= allowed for c in story.calls)
-
-    def _take_call(self, sent: Sent) -> None:
-        story, call = sent
-        key = Key.NONE
-        if "key" in story.values:
-            born = story.received + call.sent - call.age
-            key = self._kept[call.worker].take(story.values["key"], born)
-        name = story.values.get("class", "")
+        if "gone" in fields:
+            self.clients_left += 1
+            allowed = float(fields["gone"]) + LATE_CALL_MS
+            self.called_after_leaving += any(c.first_byte_sent >= allowed for c in record.calls)
+
+    def _take_call(self, sent: SentCall) -> None:
+        record, call = sent
+        key = KeyState.NONE
+        if "key" in record.fields:
+            born = record.received_at + call.sent_after - call.age
+            key = self._kept[call.worker].take(record.fields["key"], born)
+        name = record.fields.get("class", "")
         self._sent[name, key] += 1
-        if story.served_by is call:
+        if record.served_by is call:
             young = 0.0 < call.age < self.young_ms
-            self._times[Group(name, str(call.kind), young, key)].take(story, call)
+            self._times[Group(name, str(call.kind), young, key)].take(record, call)
 
-    def ends(self) -> list[list[str]]:
+    def ending_rows(self) -> list[list[str]]:
         """Rows of text: class, slots, end and why, the calls' outcomes, how many, their share, young.
 
         Young: how many of them had a call to a young worker.
@@ -183,7 +183,7 @@
             rows.append([*row, str(n), f"{n / self._whole[row[0]]:.3f}", str(self._young[row])])
         return rows
 
-    def times(self) -> list[list[str]]:
+    def time_rows(self) -> list[list[str]]:
         """Rows of text: class, kind of worker, its age, its key; how many served, percentiles of times in ms."""
         waits = [f"{name}_p{p:g}" for name in ("byte", "start", "run") for p in WAIT_PERCENTILES]
         rows = [["class", "kind", "worker", "key", "served", *(f"p{p:g}" for p in PERCENTILES), *waits]]
@@ -192,7 +192,7 @@
             rows.append([group.class_name, group.kind, age, group.key.value, *times.row()])
         return rows
 
-    def shape(self, bucket_ms: int) -> list[list[str]]:
+    def histogram_rows(self, bucket_ms: int) -> list[list[str]]:
         """Rows of text: class, key, from how many ms on, how many were answered in that bucket."""
         counts: Counter[tuple[str, str, int]] = Counter()
         for group, times in self._times.items():
@@ -202,7 +202,7 @@
         rows = [["class", "key", "from_ms", "served"]]
         return rows + [[name, key, str(at), str(n)] for (name, key, at), n in sorted(counts.items())]
 
-    def keys(self) -> list[list[str]]:
+    def key_rows(self) -> list[list[str]]:
         """Rows of text: class, key, how many calls ran at such workers, their share of the class's."""
         rows = [["class", "key", "calls", "share"]]
         whole: Counter[str] = Counter()
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -19,7 +19,7 @@
 from . import gearman as gearman_load
 from . import recovery as coming_back
 from . import requests as stories
-from .answers import Answers
+from .answers import RequestTables
 from .clients import WORTH, Clients
 from .idle import measure
 from .site import Site, free_port
@@ -54,18 +54,18 @@
     """
     try:
         if ident:
-            for story in stories.read(folder):
-                if story.values.get("id") == ident:
+            for story in stories.read_records(folder):
+                if story.fields.get("id") == ident:
                     click.echo(f"{story.scheduler}\t{story.at:g}\t{story.text}")
             return
-        answers = Answers(young, kept).take_all(stories.read(folder))
+        answers = RequestTables(young, kept).add_all(stories.read_records(folder))
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
-    for rows in (answers.ends(), answers.keys(), answers.times(), answers.shape(bucket)):
+    for rows in (answers.ending_rows(), answers.key_rows(), answers.time_rows(), answers.histogram_rows(bucket)):
         for row in rows:
             click.echo("\t".join(row))
         click.echo("")
-    click.echo(f"left while waiting\t{answers.waiting}\tsent on later\t{answers.later}")
+    click.echo(f"left while waiting\t{answers.clients_left}\tsent on later\t{answers.called_after_leaving}")
 
 
 @click.command()
--- a/gaphub/lab/requests.py
+++ b/gaphub/lab/requests.py
@@ -18,17 +18,17 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class Call:
     """One call of a request; times in ms since the request was received, -1 for what never happened."""
 
     worker: str
     outcome: str
-    sent: float
-    took: float
+    sent_after: float
+    duration: float
     age: float  # of the worker's process when it was sent; 0: by the clocks it had not started
     kind: int  # of the worker, by its number
     started: float  # when the worker told that it runs
-    begun: float  # when its first byte left
+    first_byte_sent: float  # when its first byte left
 
     @property
     def ran(self) -> bool:
@@ -36,47 +36,47 @@
         return self.started >= 0.0 or self.outcome in RAN
 
     @property
-    def ended(self) -> float:
+    def ended_at(self) -> float:
         """When its outcome came."""
-        return self.sent + self.took
+        return self.sent_after + self.duration
 
 
 @dataclass(slots=True)
-class Story:
+class RequestRecord:
     """One request as the scheduler that took it told it."""
 
     scheduler: str
     at: float  # s, when whoever kept the log took the line in; 0 if it holds no time
-    values: dict[str, str]
-    calls: list[Attempt]
+    fields: dict[str, str]
+    calls: list[Call]
     text: str
 
     @property
-    def received(self) -> float:
+    def received_at(self) -> float:
         """Unix time in ms at which it was received."""
-        return float(self.values.get("at", 0.0))
+        return float(self.fields.get("at", 0.0))
 
     @property
-    def answered(self) -> float:
+    def answered_after(self) -> float:
         """When it was answered, in ms since it was received; 0 if never."""
-        return float(self.values.get("after", 0.0))
+        return float(self.fields.get("after", 0.0))
 
     @property
-    def done(self) -> float:
+    def finished_at(self) -> float:
         """Unix time in ms at which nothing of it was out any more."""
-        return self.received + max([self.answered, *(c.ended for c in self.calls)])
+        return self.received_at + max([self.answered_after, *(c.ended_at for c in self.calls)])
 
     @property
-    def served_by(self) -> Attempt | None:
+    def served_by(self) -> Call | None:
         """The call whose answer was the request's."""
         return next((c for c in self.calls if c.outcome == "ok"), None) if self.end == "served" else None
 
     @property
     def end(self) -> str:
         """Its final answer, and why behind a colon."""
-        return self.values.get("end", "")
+        return self.fields.get("end", "")
 
-    def cold(self, within_ms: float) -> bool:
+    def called_young_worker(self, within_ms: float) -> bool:
         """Whether any of its calls went to a worker that had run for less than this."""
         return any(0.0 < c.age < within_ms for c in self.calls)
 
@@ -85,19 +85,19 @@
         return "+".join(c.outcome for c in self.calls) or "-"
 
 
-def _moment(text: str) -> float:
+def _parse_time(text: str) -> float:
     return -1.0 if text == "-" else float(text)
 
 
-def _attempt(text: str) -> Attempt:
+def _parse_call(text: str) -> Call:
     """A call as ``Core`` writes it; ValueError where another version did."""
-    worker, outcome, span, age, kind, started, begun = text.split(",")
-    sent, _, took = span.partition("+")
-    return Attempt(worker, outcome, float(sent), float(took), float(age), int(kind),
-                   _moment(started), _moment(begun))
+    worker, outcome, span, age, kind, started, first_byte_sent = text.split(",")
+    sent_after, _, duration = span.partition("+")
+    return Call(worker, outcome, float(sent_after), float(duration), float(age), int(kind),
+                   _parse_time(started), _parse_time(first_byte_sent))
 
 
-def read_one(path: Path) -> Iterator[Story]:
+def read_log(path: Path) -> Iterator[RequestRecord]:
     """Every request line of one log; OSError if it cannot be read, ValueError if another version wrote it."""
     with path.open(encoding="utf-8", errors="replace") as lines:
         for number, line in enumerate(lines, 1):
@@ -106,15 +106,15 @@
                 continue
             parts = _PART.findall(match[2])
             try:
-                calls = [_attempt(text) for name, text in parts if name == "call"]
+                calls = [_parse_call(text) for name, text in parts if name == "call"]
             except ValueError:
                 raise ValueError(f"{path}:{number}: a call that another version wrote") from None
-            yield Story(path.stem, float(match[1] or 0.0), dict(parts), calls, match[2])
+            yield RequestRecord(path.stem, float(match[1] or 0.0), dict(parts), calls, match[2])
 
 
-def read(folder: Path) -> Iterator[Story]:
+def read_records(folder: Path) -> Iterator[RequestRecord]:
     """Every request line of every ``*.log`` of a folder, by the schedulers' clocks; errors as ``read_one``.
 
     All logs are open together.
     """
-    return merge(*(read_one(path) for path in sorted(folder.glob("*.log"))), key=lambda story: story.done)
+    return merge(*(read_log(path) for path in sorted(folder.glob("*.log"))), key=lambda record: record.finished_at)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 
 from gaphub.cli import gaphub
 from gaphub.lab import answers, requests
-from gaphub.lab.answers import Answers
+from gaphub.lab.answers import RequestTables
 
 from .scenario import Cast
 
@@ -95,17 +95,17 @@
 
 
 def test_the_logs_are_read_once_and_little_is_held(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(answers, "HOLD_MS", 500.0)
+    monkeypatch.setattr(answers, "REORDER_WINDOW_MS", 500.0)
     write(tmp_path, n0=[served(f"r{i}", 2_000_000 + 1000 * i, "7f") for i in range(50)])
     held = 0
-    begun: list[requests.Story] = []
+    begun: list[requests.RequestRecord] = []
 
-    def counted() -> Iterator[requests.Story]:
-        for story in requests.read(tmp_path):
-            begun.append(story)
-            yield story
+    def counted() -> Iterator[requests.RequestRecord]:
+        for record in requests.read_records(tmp_path):
+            begun.append(record)
+            yield record
 
-    for done, _ in enumerate(answers.in_order_of_start(counted())):
+    for done, _ in enumerate(answers.order_by_start(counted())):
         held = max(held, len(begun) - done)
     assert len(begun) == 50 and held <= 3
 
@@ -135,8 +135,9 @@
 
     asyncio.run(run())
     (tmp_path / "n0.log").write_text("".join(lines))
-    (story,) = requests.read(tmp_path)
-    call = story.served_by
-    assert story.values["key"] == "7f" and call is not None and call.kind == 0
-    assert 0.0 <= call.begun <= call.started <= call.ended <= story.answered + 2.0  # each is rounded
-    assert Answers(9_000.0).take_all([story]).keys()[1:] == [["0", "new", "1", "1.000"]]
+    (record,) = requests.read_records(tmp_path)
+    call = record.served_by
+    assert record.fields["key"] == "7f" and call is not None and call.kind == 0
+    # Each time is rounded.
+    assert 0.0 <= call.first_byte_sent <= call.started <= call.ended_at <= record.answered_after + 2.0
+    assert RequestTables(9_000.0).add_all([record]).key_rows()[1:] == [["0", "new", "1", "1.000"]]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 
 from gaphub.core import Core
 from gaphub.lab import requests
-from gaphub.lab.answers import Answers
+from gaphub.lab.answers import RequestTables
 from gaphub.messages import Call
 from gaphub.net import destinations, http
 from gaphub.net.gearman import Gearman
@@ -229,8 +229,8 @@
 
 def left(folder: Path) -> tuple[int, int]:
     """By the logs of a folder: how many clients left while waiting, and for how many a call was started later."""
-    answers = Answers(young_ms=9_000.0).take_all(requests.read(folder))
-    return answers.waiting, answers.later
+    answers = RequestTables(young_ms=9_000.0).add_all(requests.read_records(folder))
+    return answers.clients_left, answers.called_after_leaving
 
 
 # The log evaluation counts clients that left while waiting, and calls that started 0.3 s or more after that.
