--- a/gaphub/lab/failover.py
+++ b/gaphub/lab/failover.py
@@ -84,7 +84,7 @@
     victim = draw.choice(site.serving) if site.plain else site.holder()
     if victim is None:
         outcome.unmoved += 1
-        await site.settled()
+        await site.wait_settled()
         return
     clients.rate = rate * JUMP
     seen = len(site.front.served)
@@ -122,7 +122,7 @@
         site.restart(victim)
     site.relay.heal()
     faults.append((at, time.monotonic(), victim.ip))
-    await site.settled()
+    await site.wait_settled()
     site.front.back(victim.ip)
 
 
--- a/gaphub/lab/gearman.py
+++ b/gaphub/lab/gearman.py
@@ -28,13 +28,13 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
-async def receive(reader: asyncio.StreamReader) -> tuple[int, bytes]:
+async def read_packet(reader: asyncio.StreamReader) -> tuple[int, bytes]:
     """The next packet's type and body."""
     _, kind, size = codec.HEADER.unpack(await reader.readexactly(codec.HEADER.size))
     return kind, await reader.readexactly(size)
 
 
-def request(kind: int, *arguments: bytes) -> bytes:
+def pack_request(kind: int, *arguments: bytes) -> bytes:
     """A packet of a client or a worker."""
     return codec.pack(kind, *arguments, magic=codec.REQUEST)
 
@@ -120,17 +120,17 @@
 
 async def _worker(daemon: Daemon, load: Load) -> None:
     reader, writer = await asyncio.open_connection(*daemon.to)
-    writer.write(request(codec.CAN_DO, b"work") + request(codec.GRAB_JOB))
+    writer.write(pack_request(codec.CAN_DO, b"work") + pack_request(codec.GRAB_JOB))
     while True:
-        kind, body = await receive(reader)
+        kind, body = await read_packet(reader)
         if kind == codec.JOB_ASSIGN:
             handle = body.partition(b"\0")[0]
-            writer.write(request(codec.WORK_COMPLETE, handle, b"done") + request(codec.GRAB_JOB))
+            writer.write(pack_request(codec.WORK_COMPLETE, handle, b"done") + pack_request(codec.GRAB_JOB))
         elif kind == codec.NO_JOB:
-            writer.write(request(codec.PRE_SLEEP))
+            writer.write(pack_request(codec.PRE_SLEEP))
         elif kind == codec.NOOP:
             load.wakes += 1
-            writer.write(request(codec.GRAB_JOB))
+            writer.write(pack_request(codec.GRAB_JOB))
 
 
 async def _client(daemon: Daemon, load: Load, jobs: int) -> None:
@@ -138,10 +138,10 @@
     try:
         for _ in range(jobs):
             began = time.perf_counter()
-            writer.write(request(codec.SUBMIT_JOB, b"work", b"", BODY))
+            writer.write(pack_request(codec.SUBMIT_JOB, b"work", b"", BODY))
             kind = 0
             while kind not in (codec.WORK_COMPLETE, codec.WORK_FAIL, codec.ERROR):
-                kind, _ = await receive(reader)
+                kind, _ = await read_packet(reader)
             load.latency_us.record_value(max(1, int((time.perf_counter() - began) * 1e6)))
             load.jobs += 1
             load.failed += kind != codec.WORK_COMPLETE
@@ -168,14 +168,14 @@
     reader, writer = await asyncio.open_connection(*daemon.to)
     found: list[tuple[int, float, float]] = []
     at, empty = 0, daemon.resident_kb()
-    packet = request(codec.SUBMIT_JOB_BG, b"nobody", b"", BODY)
+    packet = pack_request(codec.SUBMIT_JOB_BG, b"nobody", b"", BODY)
     for mark in marks:
         began = time.perf_counter()
         while at < mark:
             batch = min(200, mark - at)
             writer.write(packet * batch)
             for _ in range(batch):
-                kind, body = await receive(reader)
+                kind, body = await read_packet(reader)
                 if kind != codec.JOB_CREATED:
                     raise RuntimeError(f"job {at} was refused: {body!r}")
             at += batch
--- a/gaphub/lab/recovery.py
+++ b/gaphub/lab/recovery.py
@@ -80,7 +80,7 @@
     failed: int
     tries: int
     peak_at_a_worker: int
-    twice: int  # jobs of a never-twice class that a worker ran more than once: must be 0
+    ran_twice: int  # jobs of a never-twice class that a worker ran more than once: must be 0
     served_at_end: float  # the share of tries served in the last two seconds before the clients stopped
 
     def line(self) -> str:
@@ -88,7 +88,7 @@
         back = "not back" if math.isinf(self.back_after_s) else f"back after {self.back_after_s:.2f} s"
         return (f"{self.killed} of {self.schedulers} killed: {back} (warm {self.warm_per_s:.0f}/s), "
                 f"p99 {self.p99_ms:.0f} ms meanwhile, {self.refused} refused and {self.failed} failed of "
-                f"{self.tries} tries, peak {self.peak_at_a_worker} at one worker, {self.twice} ran twice")
+                f"{self.tries} tries, peak {self.peak_at_a_worker} at one worker, {self.ran_twice} ran twice")
 
 
 async def run(schedulers: int = 10, share: float = 0.7, workers: int = 8, rate: float = 200.0,
--- a/gaphub/lab/site.py
+++ b/gaphub/lab/site.py
@@ -173,9 +173,9 @@
         await self.front.open(1790, ports)
         for d in self.daemons:
             d.start()
-        await self.settled()
+        await self.wait_settled()
 
-    async def settled(self, within_s: float = READY_S) -> float:
+    async def wait_settled(self, within_s: float = READY_S) -> float:
         """Wait until a holder is announced and everybody is up and remembers; how long that took, in s."""
         began = time.monotonic()
         while time.monotonic() - began < within_s:
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -21,7 +21,7 @@
 
 from gaphub.config import Address
 from gaphub.gearman import codec
-from gaphub.lab.gearman import request as packet
+from gaphub.lab.gearman import pack_request as packet
 
 from .fleet import Attempt, Conversation, Discovery, Fleet, Worker, entry, linger_zero, play, stamped
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -41,10 +41,10 @@
             site.kill(holder)
             await until(lambda: site.front.next_hop not in ("", holder.ip))
             site.restart(holder)
-            await site.settled()
+            await site.wait_settled()
             witness.kill()  # the witness first, then it comes back with its vote
             witness.start()
-            await site.settled()
+            await site.wait_settled()
             assert site.holder() is not None
         finally:
             await site.close()
@@ -111,6 +111,6 @@
     report = asyncio.run(recovery.run(schedulers=4, share=0.75, workers=4, rate=60.0, warm_s=2.0, down_s=0.3,
                                       after_s=4.0, seed=3))
     assert report.killed == 3
-    assert report.twice == 0, "a try of a killed scheduler must not run again under the same id"
+    assert report.ran_twice == 0, "a try of a killed scheduler must not run again under the same id"
     assert report.served_at_end > 0.9, "the restarted ones serve again"
     assert report.failed > 0, "the kill was felt: tries to the dead ones failed"
