--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -92,7 +92,7 @@
         self.reader = self.writer = None
 
 
-class Cast:
+class Harness:
     """A scheduler in this process and everybody around it, on loopback."""
 
     def __init__(self, **more: Any) -> None:
@@ -120,7 +120,7 @@
         self.servers.append(server)
         self.ports[name] = server.sockets[0].getsockname()[1]
 
-    async def __aenter__(self) -> Cast:
+    async def __aenter__(self) -> Harness:
         for name in ("w", "x", "d", "d2"):
             await self._listen(name)
         self._connect = asyncio.open_connection
@@ -334,10 +334,10 @@
     """Run one scenario against a scheduler of its own."""
 
     async def run() -> None:
-        async with Cast(**more) as cast:
-            await cast.play(text)
+        async with Harness(**more) as harness:
+            await harness.play(text)
 
     asyncio.run(run())
 
 
-__all__ = ["CLASSES", "SETTINGS", "Cast", "play"]
+__all__ = ["CLASSES", "SETTINGS", "Harness", "play"]
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -25,7 +25,7 @@
 from gaphub.metrics import Counters
 from gaphub.net import destinations, http
 
-from .scenario import Cast, free_port
+from .scenario import Harness, free_port
 
 LEASE_MS = 1000.0  # longer than a busy machine stands still
 
@@ -70,12 +70,12 @@
         self.ports = free_port(), free_port()
         self.text = FRONTS.format(a=self.ports[0], b=self.ports[1], keys=self.keys, service=self.service,
                                   admin=self.admin, lease=lease_ms)
-        self.cast = Cast(fronts=self.text)
+        self.harness = Harness(fronts=self.text)
         self.node: Node | None = None
 
     async def __aenter__(self) -> Pair:
-        await self.cast.__aenter__()
-        front = self.cast.config.fronts.cluster
+        await self.harness.__aenter__()
+        front = self.harness.config.fronts.cluster
         two = config.ClusterConfig(listen=f"127.0.0.1:{self.ports[1]}", me=2, keys=str(self.keys),
                                   lease_ms=front.lease_ms, members=front.members)
         self.node = Node(two, Counters(), lambda move: None)
@@ -85,7 +85,7 @@
     async def __aexit__(self, *_: object) -> None:
         assert self.node is not None
         await self.node.close()
-        await self.cast.__aexit__()
+        await self.harness.__aexit__()
 
     async def holds(self, wanted: bool) -> None:
         """Wait until the daemon says so."""
@@ -105,7 +105,7 @@
 
     async def visit(self, name: str) -> None:
         """A client comes by the service address."""
-        side = await self.cast.side(name)
+        side = await self.harness.side(name)
         side.close()
         side.reader, side.writer = await asyncio.open_connection("127.0.0.1", self.service)
 
@@ -124,7 +124,7 @@
                 elif word == "lose":
                     await pair.lose()
                 else:
-                    await pair.cast.play(step)
+                    await pair.harness.play(step)
 
     asyncio.run(run())
 
@@ -251,13 +251,13 @@
     monkeypatch.setattr(Core, "offer", offer)
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play("c send job vyuctovani r1")
+        async with Harness() as harness:
+            await harness.play("c send job vyuctovani r1")
             if asked < 4:  # taken, sent, first byte, last byte
-                await cast.play(f"c expect HTTP/1.1 503 .*Retry-After: 0.050\ncount calls.ok 0\n"
+                await harness.play(f"c expect HTTP/1.1 503 .*Retry-After: 0.050\ncount calls.ok 0\n"
                                 f"count calls.fenced {int(asked in (2, 3))}")
             else:
-                await cast.play("w expect r1\nw send lines r1 done=one .\nc expect HTTP/1.1 200")
+                await harness.play("w expect r1\nw send lines r1 done=one .\nc expect HTTP/1.1 200")
 
     asyncio.run(run())
 
@@ -266,9 +266,9 @@
     monkeypatch.setattr(http.exchange, "_raise_if_stopped", _late_fence())
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play("c send job poloha r1 0123456789")
-            side = cast.sides["w"]
+        async with Harness() as harness:
+            await harness.play("c send job poloha r1 0123456789")
+            side = harness.sides["w"]
             await side.ready()
             assert side.reader is not None
             got = await side.reader.read()  # until the connection ends
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -13,7 +13,7 @@
 from gaphub.lab import answers, requests
 from gaphub.lab.answers import RequestTables
 
-from .scenario import Cast
+from .scenario import Harness
 
 BORN = 1_000_000  # when the workers of these lines started, as Unix time in ms
 
@@ -122,10 +122,10 @@
     lines: list[str] = []
 
     async def run() -> None:
-        scheduler = Cast(fronts="[log]\nrequests = true\n")
+        scheduler = Harness(fronts="[log]\nrequests = true\n")
         scheduler.counters.line = lambda name, text: lines.append(f"1.5 gaphub: {name}: {text}\n")
-        async with scheduler as cast:
-            await cast.play("""
+        async with scheduler as harness:
+            await harness.play("""
                 d expect index=41
                 c send job poloha r1 body Cookie:key=7f
                 w expect r1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 from gaphub.net import destinations, http
 from gaphub.net.gearman import Gearman
 
-from .scenario import CLASSES, SETTINGS, Cast, free_port, play
+from .scenario import CLASSES, SETTINGS, Harness, free_port, play
 from .test_gearman import FRONTS, WORKER
 
 WATCH_OPENED = "d expect index=41\n"
@@ -135,8 +135,8 @@
     monkeypatch.setattr(Core, "post", late)
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(WATCH_OPENED + """
+        async with Harness() as harness:
+            await harness.play(WATCH_OPENED + """
                 c send job poloha r1
                 w expect r1
                 d send list 42 changes x=active
@@ -146,9 +146,9 @@
             async with asyncio.timeout(5.0):
                 while not held:
                     await asyncio.sleep(0.001)
-            await cast.play(f"w {ends}\ncount requests.client_gone 1\ncount calls.sent 1\nx silent")
+            await harness.play(f"w {ends}\ncount requests.client_gone 1\ncount calls.sent 1\nx silent")
             held[0]()  # delivered late, it must be counted once
-            await cast.play("count requests.client_gone 1\ncount requests.refused 0\ncount calls.sent 1")
+            await harness.play("count requests.client_gone 1\ncount requests.refused 0\ncount calls.sent 1")
 
     asyncio.run(run())
 
@@ -210,13 +210,13 @@
     grades = [{**CLASSES[0], "deadline": 600.0 if first == "answer" else 5000.0}, CLASSES[1]]
 
     async def run() -> None:
-        async with Cast(known="", fronts=FRONTS, settings={"grades": grades}) as cast:
-            await cast.play(f"{WORKER}\ng2 send 7 pos|{unique}|old\ng expect #6\ng2 close")
+        async with Harness(known="", fronts=FRONTS, settings={"grades": grades}) as harness:
+            await harness.play(f"{WORKER}\ng2 send 7 pos|{unique}|old\ng expect #6\ng2 close")
             async with asyncio.timeout(5.0):
                 while not held:
                     await asyncio.sleep(0.001)
                 if first == "grab":
-                    await cast.play("g send 9\ng expect #10\ncount calls.moot 1\ncount gearman.assigned 0")
+                    await harness.play("g send 9\ng expect #10\ncount calls.moot 1\ncount gearman.assigned 0")
                 while cores[0].open_jobs:  # until its deadline, or until the grab has ended it
                     await asyncio.sleep(0.01)
             held[0]()
@@ -238,10 +238,10 @@
     lines: list[str] = []
 
     async def run() -> None:
-        scheduler = Cast(fronts="[log]\nrequests = true\n")
+        scheduler = Harness(fronts="[log]\nrequests = true\n")
         scheduler.counters.line = lambda name, text: lines.append(f"1.5 gaphub: {name}: {text}\n")
-        async with scheduler as cast:
-            await cast.play(WATCH_OPENED + """
+        async with scheduler as harness:
+            await harness.play(WATCH_OPENED + """
                 c send job poloha r1
                 w expect r1
                 c close
@@ -276,12 +276,12 @@
     monkeypatch.setattr(http.Outbound, "start", cross)
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(WATCH_OPENED + "c send job vyuctovani r1\ncount calls.cancelled 1\nw silent")
+        async with Harness() as harness:
+            await harness.play(WATCH_OPENED + "c send job vyuctovani r1\ncount calls.cancelled 1\nw silent")
             assert cores[0].open_jobs == 0
             port = cores[0].ports["discovery"]
             assert isinstance(port, http.Outbound) and not port._calls
-            await cast.play("c close\ncount connections.outbound 0")
+            await harness.play("c close\ncount connections.outbound 0")
 
     asyncio.run(run())
 
@@ -629,15 +629,15 @@
 @pytest.mark.parametrize("name", PROBES)
 def test_a_probe_on_a_kept_connection(name: str, cores: list[Core]) -> None:
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(SERVED)
+        async with Harness() as harness:
+            await harness.play(SERVED)
             port = cores[0].ports["discovery"]
             assert isinstance(port, http.Outbound)
             async with asyncio.timeout(5.0):
                 while not any(pool.idle for pool in port.pools.values()):
                     await asyncio.sleep(0.001)
             cores[0].probe(next(iter(cores[0].destinations.by_number)))
-            await cast.play(PROBES[name])
+            await harness.play(PROBES[name])
 
     asyncio.run(run())
 
@@ -645,19 +645,19 @@
 # Unsolicited data between two requests is not taken for a probe's answer, nor the probe's for the next request's.
 def test_a_second_answer_while_its_connection_rests_is_not_a_probes(cores: list[Core]) -> None:
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(SERVED)
+        async with Harness() as harness:
+            await harness.play(SERVED)
             port = cores[0].ports["discovery"]
             assert isinstance(port, http.Outbound)
             async with asyncio.timeout(5.0):
                 while not any(pool.idle for pool in port.pools.values()):
                     await asyncio.sleep(0.001)
-                await cast.play("w early send status 503")
+                await harness.play("w early send status 503")
                 wire = next(w for pool in port.pools.values() for w in pool.idle)
                 while not wire.reader._buffer:  # type: ignore[attr-defined]
                     await asyncio.sleep(0.001)
             cores[0].probe(next(iter(cores[0].destinations.by_number)))
-            await cast.play("""
+            await harness.play("""
                 w next
                 w expect GET /-/load
                 w old-close
@@ -781,13 +781,13 @@
     monkeypatch.setattr(http.Inbound, "shut_down", recorded_shut_down)
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(WATCH_OPENED + "c send job vyuctovani r1\nw expect r1")
-            file = json.loads(cast.file)
+        async with Harness() as harness:
+            await harness.play(WATCH_OPENED + "c send job vyuctovani r1\nw expect r1")
+            file = json.loads(harness.file)
             file["settings"]["grades"] = [{**CLASSES[0], "deadline": 600.0}]
-            cast.file = json.dumps(file).encode()
-            cast.reload.requested.set()
-            await cast.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
+            harness.file = json.dumps(file).encode()
+            harness.reload.requested.set()
+            await harness.play("count reloads.done 1\nterm\nw send lines r1 done=one .\nc expect 200 .*one\nended")
             assert drains[0].deadline - drains[0].started_at == 600.0 + http.DRAIN_EXTRA_MS - http.DRAIN_SLACK_MS
 
     asyncio.run(run())
@@ -799,11 +799,11 @@
     late: list[socket.socket] = []
 
     async def run() -> None:
-        async with Cast() as cast:
+        async with Harness() as harness:
             def arrive() -> None:
                 if not late:
-                    late.append(socket.create_connection(cast.config.listen))
-                    late[0].sendall(cast.render("c", "job poloha r1"))
+                    late.append(socket.create_connection(harness.config.listen))
+                    late[0].sendall(harness.render("c", "job poloha r1"))
 
             stop_accepting, close = http.Inbound._stop_accepting, http.Inbound.close
 
@@ -817,7 +817,7 @@
 
             monkeypatch.setattr(http.Inbound, "_stop_accepting", stop)
             monkeypatch.setattr(http.Inbound, "close", end)
-            await cast.play(WATCH_OPENED + "term\nw expect r1\nw send lines r1 done=one .\nended")
+            await harness.play(WATCH_OPENED + "term\nw expect r1\nw send lines r1 done=one .\nended")
             late[0].settimeout(5.0)
             assert b"200" in (got := late[0].recv(65536)) and got.endswith(b"one")
             late[0].close()
@@ -969,11 +969,11 @@
     monkeypatch.setattr(destinations, "UNREQUESTED_AFTER_S", 0.05)
 
     async def run() -> None:
-        async with Cast(settings=LISTS_ON_REQUEST) as cast:
+        async with Harness(settings=LISTS_ON_REQUEST) as harness:
             cores[0].watch(False)
-            await cast.play("wait 300\nd silent\ncount lists.unasked 0")
+            await harness.play("wait 300\nd silent\ncount lists.unasked 0")
             cores[0].watch(True)
-            await cast.play(WATCH_OPENED)
+            await harness.play(WATCH_OPENED)
 
     asyncio.run(run())
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -35,7 +35,7 @@
 from .crowd import HALF_A_HEAD, crowd
 from .fleet import play as in_time
 from .processes import Process, counters, running
-from .scenario import SETTINGS, Cast, free_port
+from .scenario import SETTINGS, Harness, free_port
 from .test_gearman import FRONTS
 from .test_shutdown_limits import Site
 from .test_slow_clients import (
@@ -282,8 +282,8 @@
 def test_many_who_connect_to_the_gearman_front_at_once_wait_in_its_queue() -> None:
     """While the process is stalled. With a shorter queue SYNs would be dropped and retransmitted after 1 s."""
     async def run() -> None:
-        async with Cast(fronts=FRONTS, known="") as cast:
-            gearman = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS, known="") as harness:
+            gearman = harness.config.fronts.gearman_address()
             assert gearman is not None
             with ExitStack() as clients:
                 sent_again = []
@@ -308,8 +308,8 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Inbound, "_open_session", noted)
-            async with Cast() as cast:
-                with socket.create_connection(cast.config.listen) as client:
+            async with Harness() as harness:
+                with socket.create_connection(harness.config.listen) as client:
                     for piece in (b"POST ", b"/api ", b"HTTP/1.1"):
                         client.sendall(piece)
                         time.sleep(PIECE_INTERVAL_S)  # the event loop is blocked: nothing is accepted
@@ -334,8 +334,8 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Inbound, "open", noted)
-            async with Cast(known="") as cast:
-                with socket.create_connection(cast.config.listen) as client:
+            async with Harness(known="") as harness:
+                with socket.create_connection(harness.config.listen) as client:
                     client.sendall(HALF_A_HEAD)
                     async with asyncio.timeout(TEST_TIMEOUT_S):
                         while not (inbounds[0].sessions and inbounds[0].sessions[1].protocol.bytes_received):
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -19,7 +19,7 @@
 
 from .fleet import Attempt, Conversation, Worker, play
 from .processes import Process
-from .scenario import SETTINGS, Cast
+from .scenario import SETTINGS, Harness
 from .test_shutdown_limits import Site, read_until_closed, request
 
 TOLERANCE_MS = 150.0
@@ -130,14 +130,14 @@
 # The worker reads the body late: X-Timeout was right when the head was written and is too long by the last byte.
 def test_a_head_that_has_grown_old_before_the_last_byte_is_written_anew() -> None:
     async def run() -> None:
-        async with Cast(settings={"limits": {**SETTINGS["limits"], "mostTries": 1}}) as cast:
+        async with Harness(settings={"limits": {**SETTINGS["limits"], "mostTries": 1}}) as harness:
             slow_worker = SlowWorker()
-            cast.ports["w"] = slow_worker.listener.getsockname()[1]
-            await cast.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
-            _, writer = await asyncio.open_connection(*cast.config.listen)
+            harness.ports["w"] = slow_worker.listener.getsockname()[1]
+            await harness.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
+            _, writer = await asyncio.open_connection(*harness.config.listen)
             sent_at = time.monotonic()
             body = "x" * 65_000 + "z"
-            writer.write(cast.render("c", f"job poloha r1 {body} X-Timeout:3000m"))
+            writer.write(harness.render("c", f"job poloha r1 {body} X-Timeout:3000m"))
             timeout_ms, whole = await slow_worker.read_later(0.5)
             assert timeout_ms - (3000.0 - (whole - sent_at) * 1e3) <= TOLERANCE_MS
             writer.close()
@@ -185,11 +185,11 @@
         workers = [Worker(behave), Worker(behave)]
         for worker in workers:
             await worker.open()
-        async with Cast(settings=settings) as cast:
-            cast.ports |= {"w": workers[0].address[1], "x": workers[1].address[1]}
-            await cast.play("d expect index=41\nd send list 42 full w=active x=active\nd expect index=42")
+        async with Harness(settings=settings) as harness:
+            harness.ports |= {"w": workers[0].address[1], "x": workers[1].address[1]}
+            await harness.play("d expect index=41\nd send list 42 full w=active x=active\nd expect index=42")
             sent_at = time.monotonic()
-            await cast.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
+            await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert len(got) == len(written_at) == len(stalled) == ATTEMPTS[name]
             for attempt, whole in zip(got, written_at, strict=True):
                 attempt.whole = whole
@@ -231,11 +231,11 @@
     async def run() -> None:
         worker = Worker(behave)
         await worker.open()
-        async with Cast(settings={"report": {"fields": [], "via": "off"}}) as cast:
-            cast.ports["w"] = worker.address[1]
-            await cast.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
+        async with Harness(settings={"report": {"fields": [], "via": "off"}}) as harness:
+            harness.ports["w"] = worker.address[1]
+            await harness.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
             sent_at = time.monotonic()
-            await cast.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
+            await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert stalled == [first_s, STALL_S]
             (attempt,) = got
             (attempt.whole,) = written_at
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -33,7 +33,7 @@
 
 from .discovery import AgentMode, Discovery
 from .processes import ADMIN, Process, counters, job, running
-from .scenario import SETTINGS, Cast, free_port
+from .scenario import SETTINGS, Harness, free_port
 
 LIMIT = 640  # descriptors
 BASE_DESCRIPTORS = 16  # standard streams, event loop, listeners, discovery, peers
@@ -256,7 +256,7 @@
         record_limit(Gearman, "most")
 
     async def play() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}", fronts=fronts, limits={"sockets": LIMIT}):
+        async with Harness(admin=f"127.0.0.1:{free_port()}", fronts=fronts, limits={"sockets": LIMIT}):
             pass
 
     asyncio.run(play())
@@ -269,14 +269,14 @@
 
     async def play() -> None:
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": 2}}
-        async with Cast(limits={"sockets": 8}, settings=settings) as cast:  # three of them for workers
-            await cast.play("d expect index=41\nc1 send job poloha r1")
-            await cast.play("c2 send job poloha r2\nc3 send job poloha r3")
-            await cast.play("count connections.outbound 3\ncount calls.sent 3")
-            await cast.play("c4 send job poloha r4\nc4 expect HTTP/1.1 503\ncount calls.local_failures 1")
-            await cast.play("c1 close\ncount calls.cancelled 1")
+        async with Harness(limits={"sockets": 8}, settings=settings) as harness:  # three of them for workers
+            await harness.play("d expect index=41\nc1 send job poloha r1")
+            await harness.play("c2 send job poloha r2\nc3 send job poloha r3")
+            await harness.play("count connections.outbound 3\ncount calls.sent 3")
+            await harness.play("c4 send job poloha r4\nc4 expect HTTP/1.1 503\ncount calls.local_failures 1")
+            await harness.play("c1 close\ncount calls.cancelled 1")
             # An excluded worker would not get the next job.
-            await cast.play("c5 send job vyuctovani r5\ncount connections.outbound 4\ncount calls.sent 5")
-            assert "calls.connect_failed" not in cast.counters.snapshot()
+            await harness.play("c5 send job vyuctovani r5\ncount connections.outbound 4\ncount calls.sent 5")
+            assert "calls.connect_failed" not in harness.counters.snapshot()
 
     asyncio.run(play())
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -17,7 +17,7 @@
 from gaphub.metrics import Counters
 from gaphub.net.destinations import IMMEDIATE_MAX, IMMEDIATE_PAUSE_S, RETRY_MIN_S
 
-from .scenario import Cast
+from .scenario import Harness
 from .test_core import FakePort
 
 
@@ -41,7 +41,7 @@
 
     server = await asyncio.start_server(serve_quietly, "127.0.0.1", 0)
     began = loop.time()
-    async with server, Cast(discovery=f"127.0.0.1:{server.sockets[0].getsockname()[1]}"):
+    async with server, Harness(discovery=f"127.0.0.1:{server.sockets[0].getsockname()[1]}"):
         while calls < 3 * IMMEDIATE_MAX:
             await asyncio.sleep(0.01)
         took_s = loop.time() - began
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -22,7 +22,7 @@
 from gaphub.net.http import tunables
 
 from .processes import Process, job, running
-from .scenario import Cast, free_port
+from .scenario import Harness, free_port
 
 FIRST_CALL = "d expect index=41\n"
 SERVED = FIRST_CALL + "c send job poloha r1\nw expect r1\nw send lines r1 done=one .\nc expect 200 .*one"
@@ -54,17 +54,17 @@
         return accept(self)
 
     async def run() -> None:
-        async with Cast() as cast:
+        async with Harness() as harness:
             async def inject_then_stop(self: http.Inbound) -> None:
-                late_clients.append(socket.create_connection(cast.config.listen))
-                late_clients[0].sendall(cast.render("c", "job poloha r1"))
+                late_clients.append(socket.create_connection(harness.config.listen))
+                late_clients[0].sendall(harness.render("c", "job poloha r1"))
                 pending_errors.extend([number, number])
                 await stop_accepting(self)
                 assert not pending_errors
 
             monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
             monkeypatch.setattr(http.Inbound, "_stop_accepting", inject_then_stop)
-            await cast.play(FIRST_CALL + "term\nw expect r1\nw send lines r1 done=one .\nended")
+            await harness.play(FIRST_CALL + "term\nw expect r1\nw send lines r1 done=one .\nended")
             late_clients[0].settimeout(5.0)
             assert b"200" in (answer := late_clients[0].recv(65536)) and answer.endswith(b"one")
             late_clients[0].close()
@@ -106,11 +106,11 @@
     monkeypatch.setattr(socket.socket, "close", connect_then_close)
 
     async def run() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
+        async with Harness(admin=f"127.0.0.1:{free_port()}") as harness:
             with socket.socket() as successor:
                 successor.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 successor.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-                successor.bind(cast.config.listen)
+                successor.bind(harness.config.listen)
                 successor.listen(64)
                 successor.setblocking(False)
                 await inbounds[0].shut_down(lambda: True, successor=True)
@@ -130,10 +130,10 @@
     """One job is served at the first attempt, and the counters have the given values then."""
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(SERVED)
+        async with Harness() as harness:
+            await harness.play(SERVED)
             for name, value in {"calls.sent": 1, "calls.ok": 1, **counted}.items():
-                assert cast.counters.values[name] == value, cast.counters.snapshot()
+                assert harness.counters.values[name] == value, harness.counters.snapshot()
 
     asyncio.run(run())
 
@@ -164,12 +164,12 @@
 def test_a_connection_that_this_machine_cannot_make_for_a_moment_costs_no_attempt_and_no_trust(
         call: str, number: int, pending_errors: list[tuple[str, int]]) -> None:
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL + "c send")
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL + "c send")
             pending_errors.extend([(call, number)] * 3)
-            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            await harness.play(SERVED.removeprefix(FIRST_CALL))
             assert not pending_errors
-            assert cast.counters.values["calls.sent"] == 1, cast.counters.snapshot()
+            assert harness.counters.values["calls.sent"] == 1, harness.counters.snapshot()
 
     asyncio.run(run())
 
@@ -179,12 +179,12 @@
         number: int, pending_errors: list[tuple[str, int]]) -> None:
     """The failure lasts longer than the connect time-out of the settings, 150 ms."""
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL + "c send")
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL + "c send")
             pending_errors.extend([("connect", number)] * LONG_FAILURE_CALLS)
-            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            await harness.play(SERVED.removeprefix(FIRST_CALL))
             assert not pending_errors
-            assert cast.counters.values["calls.sent"] == cast.counters.values["calls.ok"] == 1
+            assert harness.counters.values["calls.sent"] == harness.counters.values["calls.ok"] == 1
 
     asyncio.run(run())
 
@@ -194,15 +194,15 @@
     monkeypatch.setattr(tunables, "LOCAL_RETRY_LIMIT_S", 0.2, raising=False)
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL + "c send")
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL + "c send")
             pending_errors.extend([("connect", errno.ENOBUFS)] * 100_000)
-            await cast.play("c send job vyuctovani r1\nc expect HTTP/1.1 503\ncount calls.local_failures 1")
+            await harness.play("c send job vyuctovani r1\nc expect HTTP/1.1 503\ncount calls.local_failures 1")
             pending_errors.clear()
             # An excluded worker would not get the next job.
-            await cast.play("c send job vyuctovani r2\nw expect r2")
-            await cast.play("w send lines r2 done=two .\nc expect 200 .*two")
-            assert cast.counters.values["calls.connect_failed"] == 0
+            await harness.play("c send job vyuctovani r2\nw expect r2")
+            await harness.play("w send lines r2 done=two .\nc expect 200 .*two")
+            assert harness.counters.values["calls.connect_failed"] == 0
 
     asyncio.run(run())
 
@@ -215,15 +215,15 @@
     Guards against a probe that counted as unanswered then, and its worker as not responding.
     """
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL)
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL)
             pending_errors.extend([("connect", number)] * LONG_FAILURE_CALLS)
             cores[0].probe(next(iter(cores[0].destinations.by_number)))
-            await cast.play("count probes.moot 1")
+            await harness.play("count probes.moot 1")
             pending_errors.clear()
-            assert cast.counters.values["probes.timeout"] == 0
+            assert harness.counters.values["probes.timeout"] == 0
             # An excluded worker would not get the next job.
-            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            await harness.play(SERVED.removeprefix(FIRST_CALL))
 
     asyncio.run(run())
 
@@ -235,8 +235,8 @@
     opened: list[Any] = []
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL + "c send")
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL + "c send")
             open_connection = asyncio.open_connection
 
             async def held_up(*to: Any, **kwargs: Any) -> Any:
@@ -248,10 +248,10 @@
                 return await opening
 
             monkeypatch.setattr(asyncio, "open_connection", held_up)
-            await cast.play(SERVED.removeprefix(FIRST_CALL))
+            await harness.play(SERVED.removeprefix(FIRST_CALL))
             monkeypatch.setattr(asyncio, "open_connection", open_connection)
             assert len(opened) == 1
-            assert cast.counters.values["calls.sent"] == cast.counters.values["calls.ok"] == 1
+            assert harness.counters.values["calls.sent"] == harness.counters.values["calls.ok"] == 1
 
     asyncio.run(run())
 
@@ -315,17 +315,17 @@
 def test_a_worker_s_connection_that_breaks_in_any_way_is_a_break(
         number: int, pending_read_errors: list[tuple[int, int]]) -> None:
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL + "c send job vyuctovani r1 ab\nw expect r1.*ab")
-            pending_read_errors.append((cast.ports["w"], number))
-            await cast.play("""
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL + "c send job vyuctovani r1 ab\nw expect r1.*ab")
+            pending_read_errors.append((harness.ports["w"], number))
+            await harness.play("""
                 w send lines r1 done=one .
                 c expect HTTP/1.1 502
                 count calls.reset 1
                 count calls.sent 1
             """)
             assert not pending_read_errors
-            await cast.play("""
+            await harness.play("""
                 c send job poloha r2
                 w next
                 w expect r2
@@ -340,10 +340,10 @@
 def test_an_agent_s_connection_that_breaks_in_any_way_is_opened_anew(
         number: int, pending_read_errors: list[tuple[int, int]]) -> None:
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(FIRST_CALL)
-            pending_read_errors.append((cast.ports["d"], number))
-            await cast.play("""
+        async with Harness() as harness:
+            await harness.play(FIRST_CALL)
+            pending_read_errors.append((harness.ports["d"], number))
+            await harness.play("""
                 d send list 42 changes w=leaving x=active
                 d next
                 d expect index=41
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
 
 from gaphub.metrics import MAX_PACKET_BYTES, Counters, collectd_packets, graphite_lines
 
-from .scenario import Cast, free_port
+from .scenario import Harness, free_port
 
 VALUES = {"requests.taken": 7, "calls.sent": 2**40}
 JOB = "c send job poloha {0}\nw expect {0}\nw send lines {0} done=ok .\nc expect 200 .*ok\n"
@@ -71,8 +71,8 @@
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             Receiver, local_addr=("127.0.0.1", 0))
         fronts = sinks(server.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1])
-        async with Cast(fronts=fronts) as cast:
-            await cast.play(JOB.format("r1"))
+        async with Harness(fronts=fronts) as harness:
+            await harness.play(JOB.format("r1"))
             async with asyncio.timeout(5.0):
                 while not (await lines.get()).startswith(b"gaphub.n0.requests.served 1 "):
                     pass
@@ -93,10 +93,10 @@
 
         server = await asyncio.start_server(stall, "127.0.0.1", 0)
         for graphite in (free_port(), server.sockets[0].getsockname()[1]):
-            async with Cast(fronts=sinks(graphite, free_port())) as cast:
+            async with Harness(fronts=sinks(graphite, free_port())) as harness:
                 for i in range(5):
-                    await cast.play(JOB.format(f"r{i}") + "wait 30")
-                counters = cast.counters.values
+                    await harness.play(JOB.format(f"r{i}") + "wait 30")
+                counters = harness.counters.values
                 async with asyncio.timeout(5.0):
                     while not counters["collectd.batches"]:
                         await asyncio.sleep(0.01)
--- a/tests/test_never_twice.py
+++ b/tests/test_never_twice.py
@@ -24,7 +24,7 @@
 
 from gaphub.gearman import codec as g
 
-from .scenario import Cast
+from .scenario import Harness
 
 JOBS = 100_000
 HTTP_CLIENTS, GEARMAN_CLIENTS, HTTP_WORKERS, GEARMAN_WORKERS = 24, 24, 4, 12
@@ -55,8 +55,8 @@
 class World:
     """What all stand-ins share: the counts."""
 
-    def __init__(self, cast: Cast) -> None:
-        self.cast = cast
+    def __init__(self, harness: Harness) -> None:
+        self.harness = harness
         self.rng = random.Random(20_261)
         self.ran: Counter[str] = Counter()
         self.ends: Counter[str] = Counter()
@@ -151,13 +151,13 @@
 
 async def http_client(world: World) -> None:
     """Submits over HTTP; each job once, as its X-Request-ID is new each time."""
-    reader, writer = await asyncio.open_connection(*world.cast.config.listen)
+    reader, writer = await asyncio.open_connection(*world.harness.config.listen)
     while job := world.job():
         name, never_twice = job
         cls = "vyuctovani" if never_twice else "poloha"
         world.submitted += 1
         for again in range(1000):  # a refusal says that trying again is harmless
-            writer.write(world.cast.render("c", f"job {cls} {name}.{again} {name} X-Timeout:20000m"))
+            writer.write(world.harness.render("c", f"job {cls} {name}.{again} {name} X-Timeout:20000m"))
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             body = await reader.readexactly(int(head.lower().split("content-length:")[1].split()[0]))
             if head.split()[1] != "503":
@@ -247,9 +247,9 @@
 
 def test_no_never_twice_job_runs_twice_in_100_000_with_drops_and_resubmissions() -> None:
     async def run() -> World:
-        async with Cast(fronts=FRONTS, known="") as cast:
-            world = World(cast)
-            at = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS, known="") as harness:
+            world = World(harness)
+            at = harness.config.fronts.gearman_address()
             servers = []
             connections: set[asyncio.Task[None]] = set()
 
@@ -262,9 +262,9 @@
             for i in range(HTTP_WORKERS):
                 server = await asyncio.start_server(accepted, "127.0.0.1", 0)
                 servers.append(server)
-                cast.ports[f"h{i}"] = server.sockets[0].getsockname()[1]
+                harness.ports[f"h{i}"] = server.sockets[0].getsockname()[1]
             names = " ".join(f"h{i}=active" for i in range(HTTP_WORKERS))
-            await cast.play(f"d expect index=41\nd send list 42 changes {names}\nd expect index=42")
+            await harness.play(f"d expect index=41\nd send list 42 changes {names}\nd expect index=42")
             workers = [asyncio.create_task(gearman_worker(world, at)) for _ in range(GEARMAN_WORKERS)]
             await asyncio.gather(*(http_client(world) for _ in range(HTTP_CLIENTS)),
                                  *(gearman_client(world, at) for _ in range(GEARMAN_CLIENTS)))
@@ -276,7 +276,7 @@
             return world
 
     world = asyncio.run(run())
-    seen = world.cast.counters.values
+    seen = world.harness.counters.values
     assert world.submitted == JOBS == sum(world.ends.values())
     # The troubles that the proof is about did happen, on both wires.
     assert world.drops > JOBS * DROP / 4 and world.resubmitted > JOBS * RESUBMIT / 4
--- a/tests/test_occupancy_command.py
+++ b/tests/test_occupancy_command.py
@@ -10,7 +10,7 @@
 
 from gaphub.cli import gaphub
 
-from .scenario import SETTINGS, Cast, free_port
+from .scenario import SETTINGS, Harness, free_port
 
 
 @pytest.mark.parametrize(("peer_messages", "expected"),
@@ -21,7 +21,7 @@
     peers = [f"127.0.0.1:{free_port()}" for _ in range(2)]
 
     async def show() -> str:
-        async with Cast(settings=settings, peers=peers, peer_listen=peers[0],
+        async with Harness(settings=settings, peers=peers, peer_listen=peers[0],
                         fronts=f'[admin]\nsocket = "{path}"\n'):
             result = await asyncio.to_thread(CliRunner().invoke, gaphub, ["occupancy", "--socket", path])
         assert result.exit_code == 0, result.output
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -25,7 +25,7 @@
 
 from .fake import World, entry
 from .processes import Process, counters, job, job_request, running
-from .scenario import CLASSES, SETTINGS, Cast, free_port
+from .scenario import CLASSES, SETTINGS, Harness, free_port
 
 BURST = 60  # concurrent callers
 LATE_JOBS = 24  # clients that the kernel distributes over two listeners during an upgrade
@@ -40,10 +40,10 @@
 
 def run(*steps: str, **more: Any) -> None:
     async def play() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}", **more) as cast:
-            await cast.play(DISCOVERY_ANSWER)
+        async with Harness(admin=f"127.0.0.1:{free_port()}", **more) as harness:
+            await harness.play(DISCOVERY_ANSWER)
             for step in steps:
-                await cast.play(step)
+                await harness.play(step)
 
     asyncio.run(play())
 
@@ -94,14 +94,14 @@
     """
 
     async def play() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}", limits={"sockets": 256}) as cast:
-            assert cast.config.admin is not None
-            await cast.play(DISCOVERY_ANSWER)
+        async with Harness(admin=f"127.0.0.1:{free_port()}", limits={"sockets": 256}) as harness:
+            assert harness.config.admin is not None
+            await harness.play(DISCOVERY_ANSWER)
             with ExitStack() as stack:
-                caller = stack.enter_context(socket.create_connection(cast.config.admin))
+                caller = stack.enter_context(socket.create_connection(harness.config.admin))
                 caller.sendall(b"GET /ops/readiness HTTP/1.1\r\nHost: o\r\n\r\n")
                 for _ in range(BURST):
-                    stack.enter_context(socket.create_connection(cast.config.admin))
+                    stack.enter_context(socket.create_connection(harness.config.admin))
                 caller.setblocking(False)
                 async with asyncio.timeout(TIMEOUT_S):
                     assert b" 200 " in await asyncio.get_running_loop().sock_recv(caller, 4096)
@@ -153,15 +153,15 @@
 
 def test_new_settings_at_reload_open_jobs_keep_the_old_rules() -> None:
     async def play() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
-            new = json.loads(cast.file)
+        async with Harness(admin=f"127.0.0.1:{free_port()}") as harness:
+            new = json.loads(harness.file)
             new["settings"]["grades"] = [
                 {**CLASSES[0], "idempotency": "at_most_once"},  # from now on poloha must not be repeated
                 {"name": "nova", "slo": 300.0, "deadline": 2000.0, "idempotency": "idempotent"}]
-            await cast.play("c send job poloha r1\nw expect r1")
-            cast.file = json.dumps(new).encode()
-            cast.reload.requested.set()
-            await cast.play("""
+            await harness.play("c send job poloha r1\nw expect r1")
+            harness.file = json.dumps(new).encode()
+            harness.reload.requested.set()
+            await harness.play("""
                 count reloads.done 1
                 w send status 500
                 c expect HTTP/1.1 503
@@ -203,13 +203,13 @@
 @pytest.mark.parametrize("name", invalid_files())
 def test_a_file_that_is_not_whole_is_turned_down_and_the_old_settings_stay(name: str) -> None:
     async def play() -> None:
-        async with Cast(admin=f"127.0.0.1:{free_port()}") as cast:
+        async with Harness(admin=f"127.0.0.1:{free_port()}") as harness:
             change = invalid_files()[name]
-            new = change if isinstance(change, bytes) else json.dumps({**json.loads(cast.file), **change}).replace(
-                "Infinity", "1e999").encode()
-            cast.file = new
-            cast.reload.requested.set()
-            await cast.play("count reloads.failed 1" + SERVE.format("r1", "w") + """
+            new = change if isinstance(change, bytes) else json.dumps(
+                {**json.loads(harness.file), **change}).replace("Infinity", "1e999").encode()
+            harness.file = new
+            harness.reload.requested.set()
+            await harness.play("count reloads.failed 1" + SERVE.format("r1", "w") + """
                 o send call GET /ops/stats
                 o expect "reload_success":0,"reload_failure":1
             """)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.store import MAGIC, MAX_DATAGRAM_BYTES
 
-from .scenario import SETTINGS, Cast, free_port
+from .scenario import SETTINGS, Harness, free_port
 
 FRONTS = """
 [gearman]
@@ -24,12 +24,12 @@
 """
 
 
-def two_schedulers(messages_allowed: bool = True) -> tuple[Cast, Cast]:
+def two_schedulers(messages_allowed: bool = True) -> tuple[Harness, Harness]:
     ports = [free_port(), free_port()]
     casts = []
     for me in (0, 1):
         limits = {**SETTINGS["limits"], "peerMessages": messages_allowed}
-        casts.append(Cast(fronts=FRONTS, peer_listen=f"127.0.0.1:{ports[me]}",
+        casts.append(Harness(fronts=FRONTS, peer_listen=f"127.0.0.1:{ports[me]}",
                           peers=[f"127.0.0.1:{p}" for p in ports],
                           settings={"balancers": 2, "me": me, "limits": limits}))
     return casts[0], casts[1]
@@ -94,7 +94,7 @@
             peer.bind(("127.0.0.1", 0))
             peer.setblocking(False)
             me, other = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
-            async with Cast(fronts=FRONTS.replace("127.0.0.1:PORT", listen), peer_listen=me, peers=[me, other],
+            async with Harness(fronts=FRONTS.replace("127.0.0.1:PORT", listen), peer_listen=me, peers=[me, other],
                             settings={"balancers": 2, "me": 0,
                                       "limits": {**SETTINGS["limits"], "peerMessages": True}}):
                 heard = set()
@@ -115,12 +115,12 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.bind(("127.0.0.1", 0))
             me, other = ("127.0.0.1", free_port()), f"127.0.0.1:{peer.getsockname()[1]}"
-            async with Cast(fronts=FRONTS, peer_listen=f"{me[0]}:{me[1]}", peers=[f"{me[0]}:{me[1]}", other],
+            async with Harness(fronts=FRONTS, peer_listen=f"{me[0]}:{me[1]}", peers=[f"{me[0]}:{me[1]}", other],
                             settings={"balancers": 2, "me": 0,
-                                      "limits": {**SETTINGS["limits"], "peerMessages": True}}) as cast:
+                                      "limits": {**SETTINGS["limits"], "peerMessages": True}}) as harness:
                 for data in (b"\xd0\x00", b"\xd3\x00", b"\xe1", b"\xd4\x00", b"\xe2\x00", b"\xff", b""):
                     peer.sendto(data, me)
-                await cast.play("count garbled.datagram 4\nc send job poloha r1\nw expect r1")
-                assert cast.counters.values["garbled.datagram"] == 4
+                await harness.play("count garbled.datagram 4\nc send job poloha r1\nw expect r1")
+                assert harness.counters.values["garbled.datagram"] == 4
 
     asyncio.run(run())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -24,7 +24,7 @@
 from gaphub.net.http.tunables import MAX_READ_AHEAD_BYTES
 
 from .processes import Process, running
-from .scenario import Cast, free_port
+from .scenario import Harness, free_port
 
 BODY = b"b" * 60_000  # the limit is 64 KiB
 PIPELINED_REQUESTS = 3
@@ -165,8 +165,8 @@
     monkeypatch.setattr(Core, "offer", answer_at_once)
 
     async def run() -> None:
-        async with Cast() as cast:
-            reader, writer = await asyncio.open_connection(*cast.config.listen)
+        async with Harness() as harness:
+            reader, writer = await asyncio.open_connection(*harness.config.listen)
             writer.write(b"".join(request(f"r{i}") for i in range(MANY_REQUESTS)))
             answers = 0
             async with asyncio.timeout(ANSWER_S):
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -15,7 +15,7 @@
 
 from gaphub.core import Core
 
-from .scenario import SETTINGS, Cast
+from .scenario import SETTINGS, Harness
 
 HOUR_S = 3600.0
 WARM_MS = 400.0
@@ -42,18 +42,18 @@
     async def run() -> None:
         if when == "before the scheduler starts":
             step()
-        async with Cast(settings={"rules": RULES}) as cast:
-            await cast.play(EXPECT_FIRST_CALL + "d send list 42 full w=active\nd expect index=42")
+        async with Harness(settings={"rules": RULES}) as harness:
+            await harness.play(EXPECT_FIRST_CALL + "d send list 42 full w=active\nd expect index=42")
             if when == "while it runs":
                 step()
             started_ms = (real_time() if stamped == "before" else time.time()) * 1e3 - 50.0
-            await cast.play(f"d send list 43 changes w=active@{started_ms}\nd expect index=43")
+            await harness.play(f"d send list 43 changes w=active@{started_ms}\nd expect index=43")
             assert -10.0 <= ready_since_ms(cores[0]) <= WARM_MS
-            await cast.play("wait 50")
+            await harness.play("wait 50")
             before = ready_since_ms(cores[0])
-            await cast.play(f"d send list 44 changes w=active@{started_ms}\nd expect index=44")
+            await harness.play(f"d send list 44 changes w=active@{started_ms}\nd expect index=44")
             assert ready_since_ms(cores[0]) >= before, "the same start, listed again, counted as a restart"
-            await cast.play(f"wait {WARM_MS}")
+            await harness.play(f"wait {WARM_MS}")
             assert ready_since_ms(cores[0]) >= WARM_MS
 
     asyncio.run(run())
@@ -64,8 +64,8 @@
     real_time = time.time
 
     async def run() -> None:
-        async with Cast() as cast:
-            await cast.play(EXPECT_FIRST_CALL)
+        async with Harness() as harness:
+            await harness.play(EXPECT_FIRST_CALL)
 
     found: list[tuple[Core, bytes]] = []
     real_init = Core.__init__
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -17,7 +17,7 @@
 from gaphub.gearman import tls
 from gaphub.gearman.codec import ECHO_REQ, REQUEST, pack
 
-from .scenario import Cast, play
+from .scenario import Harness, play
 
 FRONTS = """
 [gearman]
@@ -45,9 +45,9 @@
     return made
 
 
-async def echo(cast: Cast, context: ssl.SSLContext | None) -> bytes:
+async def echo(harness: Harness, context: ssl.SSLContext | None) -> bytes:
     """What comes back for an echo; empty where the session ends instead."""
-    to = cast.config.fronts.gearman_address()
+    to = harness.config.fronts.gearman_address()
     assert to is not None
     try:
         async with asyncio.timeout(8.0):
@@ -70,16 +70,16 @@
     fronts = FRONTS.format(one) + f'tls_ca = "{one}/ca.pem"\ntls_minimum = "1.3"\n'
 
     async def run() -> None:
-        async with Cast(fronts=fronts) as cast:
+        async with Harness(fronts=fronts) as harness:
             mixed = client(one)
             mixed.load_cert_chain(other / "eve.pem", other / "eve.key")
-            assert b"hello" in await echo(cast, client(one, "ann"))
-            assert await echo(cast, client(one)) == b"", "no certificate"
-            assert await echo(cast, mixed) == b"", "of another CA"
-            assert await echo(cast, client(one, "ann", ssl.TLSVersion.TLSv1_2)) == b"", "too old"
-            assert b"hello" not in await echo(cast, None), "a plain client"
+            assert b"hello" in await echo(harness, client(one, "ann"))
+            assert await echo(harness, client(one)) == b"", "no certificate"
+            assert await echo(harness, mixed) == b"", "of another CA"
+            assert await echo(harness, client(one, "ann", ssl.TLSVersion.TLSv1_2)) == b"", "too old"
+            assert b"hello" not in await echo(harness, None), "a plain client"
             with pytest.raises(AssertionError):
-                await cast.play("count connections.gearman 2")  # only the first became a session
+                await harness.play("count connections.gearman 2")  # only the first became a session
 
     asyncio.run(run())
 
@@ -88,20 +88,20 @@
     one, other = make(tmp_path / "a"), make(tmp_path / "b")
 
     async def run() -> None:
-        async with Cast(fronts=FRONTS.format(one)) as cast:
-            to = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS.format(one)) as harness:
+            to = harness.config.fronts.gearman_address()
             assert to is not None
             reader, writer = await asyncio.open_connection(*to, ssl=client(one))
             (one / "server.key").write_text("nonsense")
-            cast.reload.requested.set()
-            await cast.play("count gearman.tls_not_reloaded 1")
-            assert b"hello" in await echo(cast, client(one)), "the old one stays"
+            harness.reload.requested.set()
+            await harness.play("count gearman.tls_not_reloaded 1")
+            assert b"hello" in await echo(harness, client(one)), "the old one stays"
             for name in ("server.pem", "server.key"):
                 (one / name).write_bytes((other / name).read_bytes())
-            cast.reload.requested.set()
-            await cast.play("count gearman.tls_reloaded 1")
-            assert b"hello" in await echo(cast, client(other))
-            assert await echo(cast, client(one)) == b""
+            harness.reload.requested.set()
+            await harness.play("count gearman.tls_reloaded 1")
+            assert b"hello" in await echo(harness, client(other))
+            assert await echo(harness, client(one)) == b""
             writer.write(ECHO)
             assert b"hello" in await reader.read(100), "the session from before goes on"
             writer.close()
@@ -132,8 +132,8 @@
 # Guards against small packets held back for the other side's ACK: 40 ms a job, seen in the load command.
 def test_sessions_send_small_packets_at_once(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Cast(fronts=FRONTS.format(make(tmp_path))) as cast:
-            to = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS.format(make(tmp_path))) as harness:
+            to = harness.config.fronts.gearman_address()
             assert to is not None
             _, writer = await asyncio.open_connection(*to, ssl=client(tmp_path))
             seen: list[socket.socket] = []
@@ -167,8 +167,8 @@
 # Guards against ending a session as idle for a time in which this process was held up and the peer spoke.
 def test_a_session_whose_packet_lies_in_the_kernel_when_its_idle_time_ends_is_served() -> None:
     async def run() -> None:
-        async with Cast(fronts=IDLE_FRONT, known="") as cast:
-            address = cast.config.fronts.gearman_address()
+        async with Harness(fronts=IDLE_FRONT, known="") as harness:
+            address = harness.config.fronts.gearman_address()
             assert address is not None
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"version\n")
