--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -1,8 +1,8 @@
-"""Owns the ids by which messages name workers.
+"""Worker ids in the messages of the sharded exchange; no I/O, no clock, no randomness.
 
-Pure.  A worker's number in this process depends on the order in which lists named it, where two names share a
-checksum; its id here depends on the names alone.  Names that share the first 32 bits get 32 others; should ids
-still meet, the id names both workers, and who reads it credits the sum to each.
+A worker's number in this process depends on the order of lists where two names share a checksum; its wire id
+depends only on the names known.  Workers whose names share the primary id, a CRC-32, use the fallback id, 32 bits
+of another hash.  If ids still collide, the id names all these workers, and a receiver credits each with the sum.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 from typing import NamedTuple
 
 
-class Renamed(NamedTuple):
-    """A worker whose id has changed, as a name that shares the first one came or went."""
+class IdChange(NamedTuple):
+    """A worker whose id changed because a name with the same primary id was added or removed."""
 
     number: int
-    before: int
-    after: int
+    old_id: int
+    new_id: int
 
 
-def first_id(name: str) -> int:
-    """The id of a worker whose name shares it with no other."""
+def primary_id(name: str) -> int:
+    """The id of a worker whose name is the only known one with this CRC-32."""
     return zlib.crc32(name.encode())
 
 
-def second_id(name: str) -> int:
-    """The id of a worker whose first id is shared."""
+def fallback_id(name: str) -> int:
+    """The id of a worker whose primary id is shared."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 class Identities:
-    """Ids of the workers that are known, by their numbers in this process."""
+    """Wire ids of the known workers, by their numbers in this process."""
 
-    __slots__ = ("_names", "_ids", "_sharing", "_numbers")
+    __slots__ = ("_names", "_ids", "_numbers_by_primary_id", "_numbers")
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}  # by number
         self._ids: dict[int, int] = {}  # by number
-        self._sharing: dict[int, set[int]] = {}  # numbers by first id
+        self._numbers_by_primary_id: dict[int, set[int]] = {}  # numbers of the workers that share it
         self._numbers: dict[int, tuple[int, ...]] = {}  # by id
 
     def __contains__(self, number: int) -> bool:
@@ -57,52 +57,52 @@
         return self._ids[number]
 
     def numbers_of(self, wire_id: int) -> tuple[int, ...]:
-        """The workers that an id names: none, one, or several that cannot be told apart."""
+        """The workers that an id names: none, one, or several whose ids collide."""
         return self._numbers.get(wire_id, ())
 
-    def add(self, number: int, name: str) -> list[Renamed]:
-        """Know a worker; whose ids have changed by it."""
+    def add(self, number: int, name: str) -> list[IdChange]:
+        """Add a worker, or change its name; returns the workers whose ids changed."""
         if self._names.get(number) == name:
             return []
-        changed = self.remove(number) if number in self._names else []
+        changes = self.remove(number) if number in self._names else []
         self._names[number] = name
-        self._sharing.setdefault(first_id(name), set()).add(number)
-        return changed + self._renamed(first_id(name))
+        self._numbers_by_primary_id.setdefault(primary_id(name), set()).add(number)
+        return changes + self._reassign(primary_id(name))
 
-    def remove(self, number: int) -> list[Renamed]:
-        """Forget a worker; whose ids have changed by it."""
+    def remove(self, number: int) -> list[IdChange]:
+        """Remove a worker; returns the workers whose ids changed."""
         name = self._names.pop(number, None)
         if name is None:
             return []
-        self._unset(number)
-        sharing = self._sharing[first_id(name)]
+        self._release(number)
+        sharing = self._numbers_by_primary_id[primary_id(name)]
         sharing.discard(number)
         if not sharing:
-            del self._sharing[first_id(name)]
-        return self._renamed(first_id(name))
-
-    def _renamed(self, first: int) -> list[Renamed]:
-        """Give those that share a first id the ids that are due."""
-        sharing = self._sharing.get(first, set())
-        alone = len({self._names[n] for n in sharing}) <= 1
-        changed = []
+            del self._numbers_by_primary_id[primary_id(name)]
+        return self._reassign(primary_id(name))
+
+    def _reassign(self, primary: int) -> list[IdChange]:
+        """Give the workers that share a primary id their ids; returns those that changed."""
+        sharing = self._numbers_by_primary_id.get(primary, set())
+        unique = len({self._names[n] for n in sharing}) <= 1
+        changes = []
         for number in sorted(sharing):
-            due = first if alone else second_id(self._names[number])
-            before = self._ids.get(number)
-            if before == due:
+            new_id = primary if unique else fallback_id(self._names[number])
+            old_id = self._ids.get(number)
+            if old_id == new_id:
                 continue
-            if before is not None:
-                self._unset(number)
-                changed.append(Renamed(number, before, due))
-            self._ids[number] = due
-            self._numbers[due] = tuple(sorted((*self._numbers.get(due, ()), number)))
-        return changed
-
-    def _unset(self, number: int) -> None:
-        """Take an id from a worker."""
+            if old_id is not None:
+                self._release(number)
+                changes.append(IdChange(number, old_id, new_id))
+            self._ids[number] = new_id
+            self._numbers[new_id] = tuple(sorted((*self._numbers.get(new_id, ()), number)))
+        return changes
+
+    def _release(self, number: int) -> None:
+        """Remove a worker from the index by id."""
         wire_id = self._ids.pop(number)
-        left = tuple(n for n in self._numbers[wire_id] if n != number)
-        if left:
-            self._numbers[wire_id] = left
+        remaining = tuple(n for n in self._numbers[wire_id] if n != number)
+        if remaining:
+            self._numbers[wire_id] = remaining
         else:
             del self._numbers[wire_id]
