--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -16,8 +16,8 @@
 import click
 
 AGAIN_S = 0.05  # after its connection was closed a client comes again
-HALF_A_HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\n"
-FIRST_WORDS = [b"", HALF_A_HEAD]
+PARTIAL_HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\n"
+FIRST_WORDS = [b"", PARTIAL_HEAD]
 
 
 async def _client(port: int, words: bytes) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -69,7 +69,7 @@
         runner.run(asyncio.wait_for(work, within_s))
 
 
-def stamped() -> StampedLoop:
+def stamped_loop() -> StampedLoop:
     """The running loop."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, StampedLoop)
@@ -81,22 +81,22 @@
 
 @dataclass
 class Attempt:
-    """One attempt as it reached a worker; ``whole``: when its last byte was here, 0: never.
+    """One attempt as it reached a worker; ``completed_at``: when its last byte was here, 0: never.
 
-    ``told_ms``: what its ``X-Timeout`` says, in ms.
+    ``x_timeout_ms``: what its ``X-Timeout`` says, in ms.
     """
 
     ident: str
     cls: str
-    first: float
-    whole: float = 0.0
-    told_ms: float = 0.0
+    first_byte_at: float
+    completed_at: float = 0.0
+    x_timeout_ms: float = 0.0
 
 
-Behave = Callable[["Attempt", "Conversation"], None]
+Behave = Callable[["Attempt", "WorkerConnection"], None]
 
 
-class Conversation(asyncio.Protocol):
+class WorkerConnection(asyncio.Protocol):
     """One connection to a worker."""
 
     def __init__(self, worker: Worker) -> None:
@@ -104,20 +104,20 @@
         self.transport: asyncio.Transport | None = None
         self.data = b""
         # What a new connection brings may have come before it was accepted, though it is read some turns later.
-        self.first = self.accepted = stamped().earliest_accepted
+        self.first = self.accepted = stamped_loop().earliest_accepted
         self.heard = False
         self.open: Attempt | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.worker.conversations.add(self)
+        self.worker.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.worker.conversations.discard(self)
+        self.worker.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        came = stamped().earliest if self.heard else self.accepted
+        came = stamped_loop().earliest if self.heard else self.accepted
         if not self.data:
             self.first = came
         self.heard = True
@@ -125,24 +125,25 @@
         if self.open is None and b"\r\nX-Request-ID: " in self.data and b"\r\n\r\n" in self.data:
             head = self.data.partition(b"\r\n\r\n")[0].decode("latin-1")
             self.open = Attempt(_header(head, "X-Request-ID"), _header(head, "X-Priority-Class"), self.first,
-                                told_ms=float(_header(head, "X-Timeout").rstrip("m") or 0.0))
+                                x_timeout_ms=float(_header(head, "X-Timeout").rstrip("m") or 0.0))
             self.worker.attempts.append(self.open)
         if self.open is not None:
             lines, _, body = self.data.partition(b"\r\n\r\n")
             if len(body) >= int(_header(lines.decode("latin-1"), "Content-Length")):
                 attempt, self.open, self.data = self.open, None, b""
-                attempt.whole = came
+                attempt.completed_at = came
                 self.worker.behave(attempt, self)
 
-    def say(self, status: str, body: bytes = b"", *headers: str) -> None:
+    def send_answer(self, status: str, body: bytes = b"", *headers: str) -> None:
         """A whole answer."""
         if self.transport is not None and not self.transport.is_closing():
             lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
             self.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
 
-    def line(self, attempt: Attempt, state: str) -> None:
+    def send_result(self, attempt: Attempt, state: str) -> None:
         """An answer of one line."""
-        self.say("200 OK", json.dumps({"id": attempt.ident, "state": state, "result": "r"}).encode() + b"\n")
+        self.send_answer(
+            "200 OK", json.dumps({"id": attempt.ident, "state": state, "result": "r"}).encode() + b"\n")
 
     def reset(self) -> None:
         """RST."""
@@ -167,7 +168,7 @@
         self.behave = behave
         self.attempts: list[Attempt] = []
         self.address: Address = ("", 0)
-        self.conversations: set[Conversation] = set()
+        self.connections: set[WorkerConnection] = set()
         self._server: asyncio.Server | None = None
         self._listener: socket.socket | None = None
         self._plugs: list[socket.socket] = []
@@ -175,7 +176,7 @@
     async def open(self) -> None:
         """Listen and accept."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Conversation(self), "127.0.0.1", 0, backlog=1024)
+            lambda: WorkerConnection(self), "127.0.0.1", 0, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def open_plugged(self) -> None:
@@ -198,15 +199,15 @@
             plug.close()
         self._listener.listen(1024)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Conversation(self), sock=self._listener, backlog=1024)
+            lambda: WorkerConnection(self), sock=self._listener, backlog=1024)
 
     def stop(self) -> None:
         """End as a killed process does: no listener, its connections reset."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for conversation in list(self.conversations):
-            conversation.reset()
+        for connection in list(self.connections):
+            connection.reset()
 
     def close(self) -> None:
         """Give everything back."""
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -23,7 +23,7 @@
 from .scenario import SETTINGS, free_port
 
 READY_S = 20.0
-ADMIN = "GET /ops/readiness"
+READINESS = "GET /ops/readiness"
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
@@ -85,7 +85,7 @@
         """How many it holds now."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
-    def processor_s(self) -> float:
+    def cpu_s(self) -> float:
         """The processor time that it has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
@@ -111,10 +111,10 @@
     async def ready(self) -> None:
         """Until the operators' address says so."""
         async with asyncio.timeout(READY_S):
-            while await self.call(ADMIN) != 200:
+            while await self.call(READINESS) != 200:
                 await asyncio.sleep(0.05)
 
-    async def took_to_ready(self) -> float:
+    async def seconds_to_ready(self) -> float:
         """Wait until the platform's address and, where there is one, the operators' say so; s from the start.
 
         Infinite where the process ended or ``READY_S`` passed.
@@ -125,7 +125,7 @@
                     if self.process.poll() is not None:
                         return float("inf")
                     await asyncio.sleep(0.05)
-                while self.settings["admin"] and await self.call(ADMIN) != 200:
+                while self.settings["admin"] and await self.call(READINESS) != 200:
                     await asyncio.sleep(0.05)
         except TimeoutError:
             return float("inf")
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,7 +24,7 @@
 
 import click
 
-from .fleet import Attempt, Conversation, Discovery, Worker, entry, play
+from .fleet import Attempt, Discovery, Worker, WorkerConnection, entry, play
 from .processes import Process, running
 from .scenario import SETTINGS, free_port
 
@@ -87,12 +87,12 @@
     """One attempt as its worker saw it."""
 
     attempt: Attempt
-    conversation: Conversation
+    connection: WorkerConnection
     answered: str = ""  # how its worker answered; empty: not yet
 
     @property
     def open(self) -> bool:
-        transport = self.conversation.transport
+        transport = self.connection.transport
         return not self.answered and transport is not None and not transport.is_closing()
 
 
@@ -114,9 +114,9 @@
 
     # -- workers --
 
-    def behave(self, attempt: Attempt, conversation: Conversation) -> None:
+    def behave(self, attempt: Attempt, connection: WorkerConnection) -> None:
         """Answer an attempt as a worker, with a random outcome; two at once are a violation without copies."""
-        seen = SeenAttempt(attempt, conversation)
+        seen = SeenAttempt(attempt, connection)
         before = self.attempts.setdefault(attempt.ident, [])
         if not self.plan.copies:
             for other in before:
@@ -136,11 +136,11 @@
             return
         seen.answered = outcome
         if outcome == "turned away":
-            seen.conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1")
+            seen.connection.send_answer("503 Service Unavailable", b"", "X-Not-Processed: 1")
         elif outcome == "reset":
-            seen.conversation.reset()
+            seen.connection.reset()
         else:
-            seen.conversation.line(seen.attempt, outcome)
+            seen.connection.send_result(seen.attempt, outcome)
 
     # -- clients --
 
@@ -232,11 +232,11 @@
         processes = self._processes(agents[0])
         try:
             with running(processes):
-                assert max(await asyncio.gather(*(p.took_to_ready() for p in processes))) < 20.0
+                assert max(await asyncio.gather(*(p.seconds_to_ready() for p in processes))) < 20.0
                 for round_ in range(ROUNDS):
                     if round_:
                         processes[0].start()
-                        assert await processes[0].took_to_ready() < 20.0
+                        assert await processes[0].seconds_to_ready() < 20.0
                     await self._round(processes[0], agents)
         finally:
             for worker in workers:
@@ -329,11 +329,12 @@
         if request.cls == "once" and any(s.answered != "turned away" for s in attempts[:-1]):
             yield "sent again though it may have run"
         for seen in attempts:
-            over_ms = seen.attempt.told_ms - (request.timeout_s - (seen.attempt.whole - request.sent_at)) * 1e3
+            over_ms = seen.attempt.x_timeout_ms - (
+                request.timeout_s - (seen.attempt.completed_at - request.sent_at)) * 1e3
             if over_ms > SLACK_MS:
                 yield f"told {over_ms:.0f} ms more than was left"
-            if request.left_at and seen.attempt.first > request.left_at + LEAVE_MARGIN_S + SOCKET_MARGIN_S:
-                yield f"begun {seen.attempt.first - request.left_at:.3f} s after its client left"
+            if request.left_at and seen.attempt.first_byte_at > request.left_at + LEAVE_MARGIN_S + SOCKET_MARGIN_S:
+                yield f"begun {seen.attempt.first_byte_at - request.left_at:.3f} s after its client left"
 
 
 async def soak(seeds: list[int], together: int) -> list[Soak]:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -25,7 +25,7 @@
 
 from .fake import World
 from .fake import entry as listed
-from .fleet import Attempt, Conversation, Discovery, Fleet, Worker, entry, play, stamped
+from .fleet import Attempt, Discovery, Fleet, Worker, WorkerConnection, entry, play, stamped_loop
 
 SCHEDULERS = 24
 INITIAL_LOAD = 0.3  # load offered at first, as a share of the warm workers' capacity
@@ -55,7 +55,7 @@
     started_at: float = 0.0  # on the monotonic clock; 0: warm
     starts: list[float] = field(default_factory=list)  # start times of all its cold starts
     running: int = 0
-    waiting: deque[tuple[Attempt, Conversation]] = field(default_factory=deque)
+    waiting: deque[tuple[Attempt, WorkerConnection]] = field(default_factory=deque)
 
     def restart(self) -> None:
         """Become cold; requests that it already has are still answered."""
@@ -68,11 +68,11 @@
             return 1.0
         return COLD_FROM + (1.0 - COLD_FROM) * min(1.0, max(0.0, (at - self.started_at) * 1e3 / WARM_MS))
 
-    def __call__(self, attempt: Attempt, conversation: Conversation) -> None:
+    def __call__(self, attempt: Attempt, connection: WorkerConnection) -> None:
         if self.refuses and self.running >= self.slots:
-            conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1", self.load())
+            connection.send_answer("503 Service Unavailable", b"", "X-Not-Processed: 1", self.load())
             return
-        self.waiting.append((attempt, conversation))
+        self.waiting.append((attempt, connection))
         self._next()
 
     @property
@@ -87,15 +87,16 @@
 
     def _next(self) -> None:
         while self.waiting and self.running < self.slots:
-            attempt, conversation = self.waiting.popleft()
+            attempt, connection = self.waiting.popleft()
             self.running += 1
             work_s = self.work_factor * WORK_MS[attempt.cls] * self.rng.uniform(0.7, 1.3) / 1e3
-            stamped().call_later(work_s / self.warm_fraction(time.monotonic()), self._done, attempt, conversation)
+            stamped_loop().call_later(
+                work_s / self.warm_fraction(time.monotonic()), self._done, attempt, connection)
 
-    def _done(self, attempt: Attempt, conversation: Conversation) -> None:
+    def _done(self, attempt: Attempt, connection: WorkerConnection) -> None:
         self.running -= 1
         body = json.dumps({"id": attempt.ident, "state": "done", "result": "r"}).encode() + b"\n"
-        conversation.say("200 OK", body, self.load())
+        connection.send_answer("200 OK", body, self.load())
         self._next()
 
 
@@ -113,7 +114,8 @@
         return self.work / (self.budget + 2.0 * float(self.budget ** 0.5) + 2.0)
 
     def __str__(self) -> str:
-        return " ".join(f"{(a.first - self.attempts[0].first) * 1e3:.0f}:{a.cls}" for a in self.attempts)
+        return " ".join(
+            f"{(a.first_byte_at - self.attempts[0].first_byte_at) * 1e3:.0f}:{a.cls}" for a in self.attempts)
 
 
 def fullest_window_of_restarts(server: Server, attempts: Sequence[Attempt], fall_ms: float) -> Window:
@@ -121,7 +123,7 @@
     windows = []
     for start, end in zip(server.starts, [*server.starts[1:], float("inf")], strict=True):
         server.started_at = start
-        windows.append(fullest_window(server, [a for a in attempts if start <= a.first < end], fall_ms))
+        windows.append(fullest_window(server, [a for a in attempts if start <= a.first_byte_at < end], fall_ms))
     return max(windows, key=lambda window: window.share)
 
 
@@ -130,10 +132,10 @@
     fall_s = fall_ms / 1e3
     highest = Window([], 0.0, 0.0)
     for n, begin in enumerate(attempts):
-        inside = list(itertools.takewhile(lambda a: a.first < begin.first + fall_s, attempts[n:]))  # noqa: B023
+        inside = list(itertools.takewhile(lambda a: a.first_byte_at < begin.first_byte_at + fall_s, attempts[n:]))  # noqa: B023
         work = sum(WORK_MS[a.cls] / MEAN_MS for a in inside)
         possible_work = server.capacity * fall_ms * (
-            server.warm_fraction(begin.first) + server.warm_fraction(begin.first + fall_s)) / 2
+            server.warm_fraction(begin.first_byte_at) + server.warm_fraction(begin.first_byte_at + fall_s)) / 2
         highest = max(highest, Window(inside, work, FALL_MULTIPLE * possible_work),
                       key=lambda window: window.share)
     return highest
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -32,7 +32,7 @@
 from gaphub.net.arrival import tcp_info_field
 from gaphub.net.http import ClientSession, Inbound, tunables
 
-from .crowd import HALF_A_HEAD, crowd
+from .crowd import PARTIAL_HEAD, crowd
 from .fleet import play as in_time
 from .processes import Process, counters, running
 from .scenario import SETTINGS, Harness, free_port
@@ -131,14 +131,14 @@
         await one.ready()
         with crowd(one.listen, size, CROWD_S):
             await asyncio.sleep(CROWD_CONNECT_S)
-            processor_s_before = one.processor_s()
+            processor_s_before = one.cpu_s()
             began = time.monotonic()
             tasks = []
             for i in range(NEWCOMERS):
                 tasks.append(asyncio.create_task(newcomer(one.listen, f"new-{i}", pause_s)))
                 await asyncio.sleep(NEWCOMER_INTERVAL_S)
             found = await asyncio.gather(*tasks)
-            share = (one.processor_s() - processor_s_before) / (time.monotonic() - began)
+            share = (one.cpu_s() - processor_s_before) / (time.monotonic() - began)
         counts = await counters(one.listen)
     workers.close()
     agent.close()
@@ -336,7 +336,7 @@
             patch.setattr(Inbound, "open", noted)
             async with Harness(known="") as harness:
                 with socket.create_connection(harness.config.listen) as client:
-                    client.sendall(HALF_A_HEAD)
+                    client.sendall(PARTIAL_HEAD)
                     async with asyncio.timeout(TEST_TIMEOUT_S):
                         while not (inbounds[0].sessions and inbounds[0].sessions[1].protocol.bytes_received):
                             await asyncio.sleep(0.01)
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -17,7 +17,7 @@
 from gaphub.net import http
 from gaphub.net.arrival import ArrivalLog
 
-from .fleet import Attempt, Conversation, Worker, play
+from .fleet import Attempt, Worker, WorkerConnection, play
 from .processes import Process
 from .scenario import SETTINGS, Harness
 from .test_shutdown_limits import Site, read_until_closed, request
@@ -32,12 +32,12 @@
 
 def excess_ms(attempt: Attempt, sent_at: float, timeout_ms: float = TIMEOUT_MS) -> float:
     """By how much X-Timeout exceeded the time that the client had left when the last byte reached the worker."""
-    return attempt.told_ms - (timeout_ms - (attempt.whole - sent_at) * 1e3)
+    return attempt.x_timeout_ms - (timeout_ms - (attempt.completed_at - sent_at) * 1e3)
 
 
 async def attempts_of(site: Site, count: int) -> list[Attempt]:
     async with asyncio.timeout(5.0):
-        while len(site.worker.attempts) < count or not site.worker.attempts[-1].whole:
+        while len(site.worker.attempts) < count or not site.worker.attempts[-1].completed_at:
             await asyncio.sleep(0.005)
     return site.worker.attempts
 
@@ -170,12 +170,12 @@
     monkeypatch.setattr(http.Connection, "_write", stall_and_write)
     got: list[Attempt] = []
 
-    def behave(attempt: Attempt, conversation: Conversation) -> None:
+    def behave(attempt: Attempt, connection: WorkerConnection) -> None:
         got.append(attempt)
         if len(got) == ATTEMPTS[name]:
-            conversation.line(attempt, "done")
+            connection.send_result(attempt, "done")
         elif name == "a retry":
-            conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1")
+            connection.send_answer("503 Service Unavailable", b"", "X-Not-Processed: 1")
 
     # Second copies only in the case that tests them: a stalled process may send one, an attempt too many.
     settings = {"limits": {**SETTINGS["limits"], "secondCopies": name == "a second copy", "cancel": True},
@@ -192,7 +192,7 @@
             await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert len(got) == len(written_at) == len(stalled) == ATTEMPTS[name]
             for attempt, whole in zip(got, written_at, strict=True):
-                attempt.whole = whole
+                attempt.completed_at = whole
                 assert excess_ms(attempt, sent_at, 2000.0) <= TOLERANCE_MS, attempt
         for worker in workers:
             worker.close()
@@ -224,9 +224,9 @@
     monkeypatch.setattr(http.Connection, "_write", stall_and_write)
     got: list[Attempt] = []
 
-    def behave(attempt: Attempt, conversation: Conversation) -> None:
+    def behave(attempt: Attempt, connection: WorkerConnection) -> None:
         got.append(attempt)
-        conversation.line(attempt, "done")
+        connection.send_result(attempt, "done")
 
     async def run() -> None:
         worker = Worker(behave)
@@ -238,7 +238,7 @@
             await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert stalled == [first_s, STALL_S]
             (attempt,) = got
-            (attempt.whole,) = written_at
+            (attempt.completed_at,) = written_at
             assert excess_ms(attempt, sent_at, 2000.0) <= TOLERANCE_MS, attempt
         worker.close()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -32,7 +32,7 @@
 from gaphub.net.ops import OpsServer
 
 from .discovery import AgentMode, Discovery
-from .processes import ADMIN, Process, counters, job, running
+from .processes import READINESS, Process, counters, job, running
 from .scenario import SETTINGS, Harness, free_port
 
 LIMIT = 640  # descriptors
@@ -166,7 +166,7 @@
                         await asyncio.sleep(0.02)
                 async with asyncio.timeout(WITHIN_S):
                     assert await job(listen, "newcomer") == 200
-                assert await scheduler.call(ADMIN) == 200
+                assert await scheduler.call(READINESS) == 200
                 assert (await scheduler.stats())["targets"] == len(new.addresses)
                 for _, writer in operators:
                     writer.close()
--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -153,7 +153,7 @@
                         for name, more in SCHEDULER_KINDS.items()}
     clients: list[asyncio.Task[None]] = []
     with running(list(setup.schedulers.values())):
-        assert max(await asyncio.gather(*(s.took_to_ready() for s in setup.schedulers.values()))) < float("inf")
+        assert max(await asyncio.gather(*(s.seconds_to_ready() for s in setup.schedulers.values()))) < float("inf")
         clients = [asyncio.create_task(client(name, scheduler.listen, number))
                    for name, scheduler in setup.schedulers.items() for number in range(CLIENTS)]
         async with asyncio.timeout(15.0):
@@ -251,7 +251,7 @@
     schedulers = [Process(folder, free_port(), discovery, f"n{i}", name=f"n{i}", settings=settings,
                           known=known if silent else {}) for i in range(SCHEDULERS)]
     with running(schedulers):
-        await asyncio.gather(*(s.took_to_ready() for s in schedulers))
+        await asyncio.gather(*(s.seconds_to_ready() for s in schedulers))
         clients = [asyncio.create_task(client(scheduler)) for scheduler in schedulers]
         try:
             await asyncio.sleep(1.0)
@@ -263,7 +263,7 @@
             await asyncio.gather(*(asyncio.to_thread(scheduler.process.wait, 10.0) for scheduler in schedulers))
             for scheduler in schedulers:
                 scheduler.start()
-            took_s = await asyncio.gather(*(s.took_to_ready() for s in schedulers))
+            took_s = await asyncio.gather(*(s.seconds_to_ready() for s in schedulers))
             first_statuses = await asyncio.gather(*(job(s.listen, f"{s.listen}-first") for s in schedulers))
         finally:
             for task in clients:
--- a/tests/test_drain_grace.py
+++ b/tests/test_drain_grace.py
@@ -44,7 +44,7 @@
                 await asyncio.sleep(JOB_EVERY_S)
 
         with running(schedulers):
-            assert max(await asyncio.gather(*(p.took_to_ready() for p in schedulers))) < 20.0
+            assert max(await asyncio.gather(*(p.seconds_to_ready() for p in schedulers))) < 20.0
             clients = [asyncio.create_task(client(n, p.listen))
                        for n, p in enumerate(schedulers) for _ in range(2)]
             for draining, outage_s in zip(workers, OUTAGES_S, strict=False):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -66,7 +66,7 @@
 
     with running([scheduler]):
         await scheduler.ready()
-        used_s = scheduler.processor_s()
+        used_s = scheduler.cpu_s()
         background = [asyncio.create_task(watch_descriptors()),
                       asyncio.create_task(drain(discovery, workers, worker_count))]
         jobs = []
@@ -74,7 +74,7 @@
             jobs.append(asyncio.create_task(job(scheduler.listen, f"j{i}", "poloha")))
             await asyncio.sleep(REQUEST_INTERVAL_S)
         usage.served = (await asyncio.gather(*jobs)).count(200)
-        usage.processor_s = scheduler.processor_s() - used_s
+        usage.processor_s = scheduler.cpu_s() - used_s
         for task in background:
             task.cancel()
         await asyncio.gather(*background, return_exceptions=True)
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -23,7 +23,7 @@
 from gaphub.gearman import codec
 from gaphub.lab.gearman import pack_request as packet
 
-from .fleet import Attempt, Conversation, Discovery, Fleet, Worker, entry, linger_zero, play, stamped
+from .fleet import Attempt, Discovery, Fleet, Worker, WorkerConnection, entry, linger_zero, play, stamped_loop
 
 SCHEDULERS = 3
 LATE_START_S = 0.1  # after its client's close no attempt may start
@@ -89,16 +89,16 @@
     def attempts(self) -> dict[str, list[Attempt]]:
         """The attempts that reached the workers, by request id, in order of arrival."""
         by_ident: dict[str, list[Attempt]] = {}
-        for attempt in sorted((a for w in self.workers for a in w.attempts), key=lambda a: a.first):
+        for attempt in sorted((a for w in self.workers for a in w.attempts), key=lambda a: a.first_byte_at):
             by_ident.setdefault(attempt.ident, []).append(attempt)
         return by_ident
 
     def late_attempts(self) -> list[str]:
         """Descriptions of the attempts that started too long after their clients had left."""
         attempts = self.attempts()
-        return [f"{ident}: attempt {n} began {(a.first - c.left_at) * 1e3:.0f} ms after the close"
+        return [f"{ident}: attempt {n} began {(a.first_byte_at - c.left_at) * 1e3:.0f} ms after the close"
                 for c in self.clients if c.left_at for ident in c.idents
-                for n, a in enumerate(attempts.get(ident, [])) if a.first - c.left_at > LATE_START_S]
+                for n, a in enumerate(attempts.get(ident, [])) if a.first_byte_at - c.left_at > LATE_START_S]
 
     def count_started(self, clients: Iterable[Client], number: int) -> int:
         """How many requests of ``clients`` have had at least ``number`` attempts."""
@@ -135,9 +135,9 @@
             client.sock.close()
 
 
-def serve(attempt: Attempt, conversation: Conversation) -> None:
+def serve(attempt: Attempt, connection: WorkerConnection) -> None:
     """Answer after 20 ms of work."""
-    asyncio.get_running_loop().call_later(0.02, conversation.line, attempt, "done")
+    asyncio.get_running_loop().call_later(0.02, connection.send_result, attempt, "done")
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -177,21 +177,21 @@
         self.after_s = 0.6
         self.failures: dict[str, str] = {}  # by id, of requests whose first attempt has not come yet
 
-    def __call__(self, attempt: Attempt, conversation: Conversation) -> None:
+    def __call__(self, attempt: Attempt, connection: WorkerConnection) -> None:
         failure = self.failures.pop(attempt.ident, "")
         if not failure:
-            serve(attempt, conversation)
+            serve(attempt, connection)
             return
-        stamped().call_later(self.after_s, self._fail, failure, attempt, conversation)
+        stamped_loop().call_later(self.after_s, self._fail, failure, attempt, connection)
 
     @staticmethod
-    def _fail(failure: str, attempt: Attempt, conversation: Conversation) -> None:
+    def _fail(failure: str, attempt: Attempt, connection: WorkerConnection) -> None:
         if failure == "full":
-            conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1")
+            connection.send_answer("503 Service Unavailable", b"", "X-Not-Processed: 1")
         elif failure == "reset":
-            conversation.reset()
+            connection.reset()
         else:
-            conversation.line(attempt, "lost")
+            connection.send_result(attempt, "lost")
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -253,7 +253,7 @@
     for client in others:
         with contextlib.suppress(BlockingIOError):
             client.sock.recv(65536)
-    return max(attempts[c.idents[0]][0].first for c in others if c.idents[0] in attempts) - began
+    return max(attempts[c.idents[0]][0].first_byte_at for c in others if c.idents[0] in attempts) - began
 
 
 def test_who_leaves_in_a_crowd_while_the_scheduler_is_busy_is_not_sent_on() -> None:
@@ -297,9 +297,9 @@
             body, self.data = self.data[codec.HEADER.size:][:size], self.data[codec.HEADER.size + size:]
             if kind == codec.JOB_ASSIGN:
                 handle, _, ident = body.split(b"\0")
-                self.attempts.append(Attempt(ident.decode(), "", stamped().earliest))
+                self.attempts.append(Attempt(ident.decode(), "", stamped_loop().earliest))
                 done = packet(codec.WORK_COMPLETE, handle, b"done") + packet(codec.GRAB_JOB)
-                stamped().call_later(0.04, self.transport.write, done)
+                stamped_loop().call_later(0.04, self.transport.write, done)
             elif kind == codec.NO_JOB:
                 self.transport.write(packet(codec.PRE_SLEEP))
             elif kind == codec.NOOP:
@@ -316,7 +316,7 @@
         async with open_site([], {}, gearman=True) as site:
             for to in site.fleet.gearman_addresses:
                 for _ in range(4):
-                    _, worker = await stamped().create_connection(GearmanWorker, *to)
+                    _, worker = await stamped_loop().create_connection(GearmanWorker, *to)
                     site.workers.append(worker)
             leaving: list[Client] = []
             staying: list[Client] = []
--- a/tests/test_shutdown_limits.py
+++ b/tests/test_shutdown_limits.py
@@ -17,7 +17,7 @@
 import pytest
 
 from .discovery import Discovery
-from .fleet import Attempt, Conversation, Worker, play
+from .fleet import Attempt, Worker, WorkerConnection, play
 from .processes import Process, running
 from .scenario import SETTINGS, free_port
 
@@ -48,8 +48,8 @@
         self.settings = {**SETTINGS, "grades": CLASSES, **settings}
         self.options: dict[str, Any] = {}  # further arguments of ``Process``
 
-    def _behave(self, attempt: Attempt, conversation: Conversation) -> None:
-        asyncio.get_running_loop().call_later(self.work_s, conversation.line, attempt, "done")
+    def _behave(self, attempt: Attempt, connection: WorkerConnection) -> None:
+        asyncio.get_running_loop().call_later(self.work_s, connection.send_result, attempt, "done")
 
     async def play(self, scenario: Callable[[Process], Awaitable[None]]) -> None:
         """Start everything and run a scenario on the scheduler."""
@@ -61,7 +61,7 @@
                             **self.options)
         with running([scheduler]):
             try:
-                assert await scheduler.took_to_ready() < 20.0
+                assert await scheduler.seconds_to_ready() < 20.0
                 await scenario(scheduler)
             finally:
                 self.worker.close()
--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -201,7 +201,7 @@
             for worker in workers:
                 worker.close()
         for number, each in enumerate(heard):
-            attempts = [a.first for w in workers for a in w.attempts if a.ident.startswith(f"s{number}-")]
+            attempts = [a.first_byte_at for w in workers for a in w.attempts if a.ident.startswith(f"s{number}-")]
             longest = each.longest_without_attempt_s(attempts, until)
             refused = sum(was for _, was in each.answers)
             print(f"scheduler {number}: {len(each.answers)} asked, {refused} refused, for {longest:.2f} s alone")
