--- a/gaphub/lab/__init__.py
+++ b/gaphub/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A site of stand-ins on loopback around real daemons, and experiments on it; the daemon never imports it."""
+"""Experiments with real schedulers among stand-ins on loopback; the scheduler never imports this package."""
--- a/gaphub/lab/answers.py
+++ b/gaphub/lab/answers.py
@@ -1,7 +1,7 @@
-"""Owns the tables over a fleet's requests: where they ended, how long they took, whether keys were there.
+"""Tables over the requests of a fleet: how they ended, how long they took, and whether workers held their keys.
 
-It takes the stories of ``requests`` one at a time, once, and holds counts, histograms and, of each worker, its
-last keys: its memory does not grow with the number of requests.
+The records of ``requests`` are read once, one at a time.  Kept are counts, histograms and the most recent keys of
+each worker, so memory does not grow with the number of requests.
 """
 
 from __future__ import annotations
@@ -17,70 +17,73 @@
 
 from .requests import Call, RequestRecord
 
-LATE_CALL_MS = 300.0  # after its client left nothing of a request may begin from then on
-REORDER_WINDOW_MS = 60_000.0  # a request that is out for longer may find its worker's keys told out of order
-CLOCK_TOLERANCE_MS = 1_000.0  # by how much the schedulers' clocks may differ
-MAX_KEYS_PER_WORKER = 4_096  # keys of one worker that are held at once, however many it is taken to keep
-MAX_RECORDED_MS = 600_000  # a longer time counts as this
+LATE_CALL_MS = 300.0  # from then on after its client left, no call of a request may start
+REORDER_WINDOW_MS = 60_000.0  # calls of longer requests may be evaluated out of order for their worker's keys
+CLOCK_TOLERANCE_MS = 1_000.0  # largest difference between the schedulers' clocks
+MAX_KEYS_PER_WORKER = 4_096  # kept in memory, even if a worker is assumed to keep all
+MAX_RECORDED_MS = 600_000  # longer times are recorded as this
 PERCENTILES = (10.0, 50.0, 90.0, 99.0)
 WAIT_PERCENTILES = (50.0, 90.0)
 
 
 class KeyState(Enum):
-    """Whether a worker held what a job's key needs, by the calls of all schedulers to that worker."""
+    """Whether a worker had run a job of the same key, by the calls of all schedulers to it."""
 
     NONE = "-"  # the request has no key
-    MET = "met"  # one of its last keys, since its process started
+    MET = "met"  # among the worker's most recent keys, since its process started
     NEW = "new"
 
 
 class SentCall(NamedTuple):
-    """A call, and the request that it is of."""
+    """A call and its request."""
 
     record: RequestRecord
     call: Call
 
     @property
-    def ran_from(self) -> float:
-        """Unix time in ms at which the worker began it, as far as the line tells."""
+    def started_at(self) -> float:
+        """Unix time in ms at which the worker started the job; of the sending, where no start was reported."""
         return self.record.received_at + max(self.call.sent_after, self.call.started)
 
 
 def order_by_start(records: Iterable[RequestRecord]) -> Iterator[SentCall]:
-    """Every call that ran, by the moment at which its worker began it."""
-    waiting: list[tuple[float, int, SentCall]] = []
+    """Every call that ran, ordered by when the worker started it."""
+    heap: list[tuple[float, int, SentCall]] = []
     serial = 0
     for record in records:
-        while waiting and waiting[0][0] < record.finished_at - REORDER_WINDOW_MS:
-            yield heappop(waiting)[2]
+        while heap and heap[0][0] < record.finished_at - REORDER_WINDOW_MS:
+            yield heappop(heap)[2]
         for call in record.calls:
             if call.ran:
                 sent = SentCall(record, call)
-                heappush(waiting, (sent.ran_from, serial, sent))
+                heappush(heap, (sent.started_at, serial, sent))
                 serial += 1
-    while waiting:
-        yield heappop(waiting)[2]
+    while heap:
+        yield heappop(heap)[2]
 
 
 class WorkerKeys:
-    """The last keys of one worker, across all schedulers."""
+    """The most recent keys of one worker, by the calls of all schedulers."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most or MAX_KEYS_PER_WORKER
+    def __init__(self, max_keys: int) -> None:
+        self._max_keys = max_keys or MAX_KEYS_PER_WORKER
         self._keys: OrderedDict[str, None] = OrderedDict()
-        self._born = 0.0
+        self._process_started = 0.0
 
-    def take(self, key: str, born: float) -> KeyState:
-        """Its process that started at a Unix time in ms begins a job of a key: whether it held it."""
-        if born > self._born + CLOCK_TOLERANCE_MS:
-            self._born = born  # another process
+    def add(self, key: str, process_started: float) -> KeyState:
+        """Record that the worker starts a job of this key; returns whether the key was held.
+
+        ``process_started``: Unix time in ms at which the worker's process started.
+        """
+        if process_started > self._process_started + CLOCK_TOLERANCE_MS:
+            self._process_started = process_started  # a new process: its keys are lost
             self._keys.clear()
-        found = KeyState.MET if key in self._keys else KeyState.NEW
+        state = KeyState.MET if key in self._keys else KeyState.NEW
         self._keys[key] = None
         self._keys.move_to_end(key)
-        if len(self._keys) > self._most:
+        if len(self._keys) > self._max_keys:
             self._keys.popitem(last=False)
-        return found
+        return state
 
 
 def _histogram() -> HdrHistogram:
@@ -93,15 +96,17 @@
 
 @dataclass(slots=True)
 class ServedTimes:
-    """The times of some served requests."""
+    """Histograms of the times of served requests."""
 
-    answer: HdrHistogram = field(default_factory=_histogram)  # from the taking of the request to its answer
-    byte: HdrHistogram = field(default_factory=_histogram)  # to the first byte of the call that served it
-    start: HdrHistogram = field(default_factory=_histogram)  # from that byte to its start, where workers tell it
-    run: HdrHistogram = field(default_factory=_histogram)  # from the start, else that byte, to the answer
+    answer: HdrHistogram = field(default_factory=_histogram)  # from receiving the request to its answer
+    # From receiving the request to the first byte of the call that served it.
+    byte: HdrHistogram = field(default_factory=_histogram)
+    # From that byte to the start of the job, where workers report it.
+    start: HdrHistogram = field(default_factory=_histogram)
+    run: HdrHistogram = field(default_factory=_histogram)  # from the start, or else from that byte, to the answer
 
-    def take(self, record: RequestRecord, call: Call) -> None:
-        """Note one request."""
+    def add(self, record: RequestRecord, call: Call) -> None:
+        """Record the times of one request."""
         _record_ms(self.answer, record.answered_after)
         _record_ms(self.byte, call.first_byte_sent)
         if call.started >= 0.0:
@@ -109,7 +114,7 @@
         _record_ms(self.run, call.ended_at - max(call.started, call.first_byte_sent))
 
     def row(self) -> list[str]:
-        """How many, and the percentiles of each."""
+        """The number of requests, and percentiles of each time."""
         return [str(self.answer.get_total_count()),
                 *(str(self.answer.get_value_at_percentile(p)) for p in PERCENTILES),
                 *(str(h.get_value_at_percentile(p)) if h.get_total_count() else "-"
@@ -117,7 +122,7 @@
 
 
 class Group(NamedTuple):
-    """Requests that are told of together: a class, and the kind of worker that served them."""
+    """Requests that share a row: by class, kind and age of the worker that served them, and key state."""
 
     class_name: str
     kind: str
@@ -126,65 +131,66 @@
 
 
 class RequestTables:
-    """All tables over one pass of a fleet's requests."""
+    """All tables, computed in one pass over a fleet's requests."""
 
-    def __init__(self, young_ms: float, kept: int = 0) -> None:
-        """``young_ms``: a worker that has run for less is young; ``kept``: keys that one keeps, 0: all."""
+    def __init__(self, young_ms: float, max_keys: int = 0) -> None:
+        """``young_ms``: below this age a worker is young; ``max_keys``: keys that a worker keeps, 0: all."""
         self.young_ms = young_ms
         self.clients_left = self.called_after_leaving = 0
-        self._kept: defaultdict[str, WorkerKeys] = defaultdict(lambda: WorkerKeys(kept))
-        self._ends: Counter[tuple[str, str, str, str]] = Counter()
-        self._young: Counter[tuple[str, str, str, str]] = Counter()
-        self._whole: Counter[str] = Counter()
+        self._keys_by_worker: defaultdict[str, WorkerKeys] = defaultdict(lambda: WorkerKeys(max_keys))
+        self._endings: Counter[tuple[str, str, str, str]] = Counter()
+        self._young_endings: Counter[tuple[str, str, str, str]] = Counter()
+        self._requests_by_class: Counter[str] = Counter()
         self._times: defaultdict[Group, ServedTimes] = defaultdict(ServedTimes)
-        self._sent: Counter[tuple[str, KeyState]] = Counter()
+        self._calls_by_key: Counter[tuple[str, KeyState]] = Counter()
 
     def add_all(self, records: Iterable[RequestRecord]) -> RequestTables:
-        """Take a fleet's requests in, in the order in which they were done with."""
-        for sent in order_by_start(self._noted(records)):
-            self._take_call(sent)
+        """Add a fleet's requests, which must come in the order in which they were finished."""
+        for sent in order_by_start(self._counted(records)):
+            self._add_call(sent)
         return self
 
-    def _noted(self, records: Iterable[RequestRecord]) -> Iterator[RequestRecord]:
+    def _counted(self, records: Iterable[RequestRecord]) -> Iterator[RequestRecord]:
         for record in records:
-            self._take(record)
+            self._add_record(record)
             yield record
 
-    def _take(self, record: RequestRecord) -> None:
+    def _add_record(self, record: RequestRecord) -> None:
         fields = record.fields
         row = fields.get("class", ""), fields.get("slots", ""), record.end, record.outcomes()
-        self._ends[row] += 1
-        self._young[row] += record.called_young_worker(self.young_ms)
-        self._whole[row[0]] += 1
+        self._endings[row] += 1
+        self._young_endings[row] += record.called_young_worker(self.young_ms)
+        self._requests_by_class[row[0]] += 1
         if "gone" in fields:
             self.clients_left += 1
-            allowed = float(fields["gone"]) + LATE_CALL_MS
-            self.called_after_leaving += any(c.first_byte_sent >= allowed for c in record.calls)
+            late_from = float(fields["gone"]) + LATE_CALL_MS
+            self.called_after_leaving += any(c.first_byte_sent >= late_from for c in record.calls)
 
-    def _take_call(self, sent: SentCall) -> None:
+    def _add_call(self, sent: SentCall) -> None:
         record, call = sent
         key = KeyState.NONE
         if "key" in record.fields:
-            born = record.received_at + call.sent_after - call.age
-            key = self._kept[call.worker].take(record.fields["key"], born)
+            process_started = record.received_at + call.sent_after - call.age
+            key = self._keys_by_worker[call.worker].add(record.fields["key"], process_started)
         name = record.fields.get("class", "")
-        self._sent[name, key] += 1
+        self._calls_by_key[name, key] += 1
         if record.served_by is call:
             young = 0.0 < call.age < self.young_ms
-            self._times[Group(name, str(call.kind), young, key)].take(record, call)
+            self._times[Group(name, str(call.kind), young, key)].add(record, call)
 
     def ending_rows(self) -> list[list[str]]:
-        """Rows of text: class, slots, end and why, the calls' outcomes, how many, their share, young.
+        """Rows of text: class, slots, ending and reason, outcomes of the calls, number, share of the class, young.
 
-        Young: how many of them had a call to a young worker.
+        Young is the number of these requests that had a call to a young worker.
         """
         rows = [["class", "slots", "end", "calls", "requests", "share", "young"]]
-        for row, n in sorted(self._ends.items(), key=lambda item: (item[0][0], -item[1])):
-            rows.append([*row, str(n), f"{n / self._whole[row[0]]:.3f}", str(self._young[row])])
+        for row, n in sorted(self._endings.items(), key=lambda item: (item[0][0], -item[1])):
+            rows.append(
+                [*row, str(n), f"{n / self._requests_by_class[row[0]]:.3f}", str(self._young_endings[row])])
         return rows
 
     def time_rows(self) -> list[list[str]]:
-        """Rows of text: class, kind of worker, its age, its key; how many served, percentiles of times in ms."""
+        """Rows of text: class, kind and age of the worker, key state, number served, percentiles in ms."""
         waits = [f"{name}_p{p:g}" for name in ("byte", "start", "run") for p in WAIT_PERCENTILES]
         rows = [["class", "kind", "worker", "key", "served", *(f"p{p:g}" for p in PERCENTILES), *waits]]
         for group, times in sorted(self._times.items(), key=lambda item: (*item[0][:3], item[0].key.value)):
@@ -193,7 +199,7 @@
         return rows
 
     def histogram_rows(self, bucket_ms: int) -> list[list[str]]:
-        """Rows of text: class, key, from how many ms on, how many were answered in that bucket."""
+        """Rows of text: class, key state, start of the bucket in ms, requests answered in that bucket."""
         counts: Counter[tuple[str, str, int]] = Counter()
         for group, times in self._times.items():
             for item in times.answer.get_recorded_iterator():
@@ -203,11 +209,12 @@
         return rows + [[name, key, str(at), str(n)] for (name, key, at), n in sorted(counts.items())]
 
     def key_rows(self) -> list[list[str]]:
-        """Rows of text: class, key, how many calls ran at such workers, their share of the class's."""
+        """Rows of text: class, key state, number of calls that ran, their share of the class's calls."""
         rows = [["class", "key", "calls", "share"]]
-        whole: Counter[str] = Counter()
-        for (name, _), n in self._sent.items():
-            whole[name] += n
-        for (name, key), n in sorted(self._sent.items(), key=lambda item: (item[0][0], item[0][1].value)):
-            rows.append([name, key.value, str(n), f"{n / whole[name]:.3f}"])
+        calls_by_class: Counter[str] = Counter()
+        for (name, _), n in self._calls_by_key.items():
+            calls_by_class[name] += n
+        for (name, state), n in sorted(self._calls_by_key.items(),
+                                       key=lambda item: (item[0][0], item[0][1].value)):
+            rows.append([name, state.value, str(n), f"{n / calls_by_class[name]:.3f}"])
         return rows
--- a/gaphub/lab/failover.py
+++ b/gaphub/lab/failover.py
@@ -1,6 +1,7 @@
-"""Owns the fail-over experiment: faults in rounds, the time until the new holder serves, and the audit.
+"""Fail-over experiment: rounds of one fault at the lease holder, with the time until the new holder serves.
 
-It must never leave a round out: one that ends without a move is a row of its own and spoils the summary.
+Afterwards the clients' records are checked against the workers' counts.  No round is left out: one in which the
+service address does not move is counted as unmoved.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 
 from hdrh.histogram import HdrHistogram
 
-from .clients import WORTH, Clients, Row
+from .clients import WORTH, Clients, TryRecord
 from .site import Site
 
 FAULTS = ("kill", "freeze", "split", "oneway", "handover")
-MOVE_S = 5.0  # a move that takes longer counts as none
-FROZEN_S = (0.3, 1.0, 10.0)
-JUMP = 2.0  # times the usual rate, around the fault
-WINDOW_S = 3.0  # what is asked for so long after a fault counts for the worth lost
+MOVE_TIMEOUT_S = 5.0  # after this time without an answer from another daemon the round counts as unmoved
+FREEZE_DURATIONS_S = (0.3, 1.0, 10.0)
+BURST_FACTOR = 2.0  # factor on the request rate around the fault
+WORTH_WINDOW_S = 3.0  # jobs sent within this time after a fault count towards the lost worth
 
 
 @dataclass
 class Outcome:
-    """What a run of rounds saw."""
+    """Result of a run of rounds."""
 
     fault: str
     rounds: int = 0
     moved_ms: list[float] = field(default_factory=list)
     unmoved: int = 0
-    duplicates: int = 0  # ids of never-twice classes that ran more than once
-    doubles: int = 0  # answers that nobody was owed
+    duplicates: int = 0  # request IDs of at-most-once classes that ran more than once
+    doubles: int = 0  # answers beyond one for a request, or to no request
     rows: int = 0
     endings: dict[str, int] = field(default_factory=dict)
-    unanswered: dict[str, int] = field(default_factory=dict)  # tries without an answer, by why
+    unanswered: dict[str, int] = field(default_factory=dict)  # tries without an answer, by cause
     vyuctovani_asked: float = 0.0
     vyuctovani_served: float = 0.0
 
     def percentiles(self) -> dict[str, float]:
-        """p50, p99 and max of the moves, in ms, by hdrhistogram."""
+        """p50, p99 and max of the times to a move, in ms (HDR histogram)."""
         histogram = HdrHistogram(1, 60_000_000, 3)
         for ms in self.moved_ms:
             histogram.record_value(int(ms * 1000))
@@ -53,12 +54,13 @@
                 "max": max(self.moved_ms, default=0.0)}
 
 
-async def run(fault: str, rounds: int, rate: float = 60.0, plain: bool = False, seed: int = 1,
-              tell: Any = None, frozen_s: tuple[float, ...] = FROZEN_S[:2], lease_ms: float = 400.0) -> Outcome:
-    """So many rounds of a fault at the holder (with ``plain``: at any daemon) under load."""
-    site = Site(3, plain=plain, seed=seed, lease_ms=lease_ms)
+async def run(fault: str, rounds: int, rate: float = 60.0, round_robin: bool = False, seed: int = 1,
+              on_round: Any = None, freeze_durations_s: tuple[float, ...] = FREEZE_DURATIONS_S[:2],
+              lease_ms: float = 400.0) -> Outcome:
+    """Run rounds of one fault under load, at the lease holder; with ``round_robin`` at any daemon."""
+    site = Site(3, round_robin=round_robin, seed=seed, lease_ms=lease_ms)
     outcome = Outcome(fault)
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     faults: list[tuple[float, float, str]] = []
     try:
         await site.open()
@@ -66,10 +68,10 @@
         clients.start()
         await asyncio.sleep(0.5)
         for _ in range(rounds):
-            await _round(site, clients, fault, outcome, draw, faults, rate, frozen_s)
+            await _round(site, clients, fault, outcome, rng, faults, rate, freeze_durations_s)
             outcome.rounds += 1
-            if tell is not None:
-                tell(outcome)
+            if on_round is not None:
+                on_round(outcome)
         await clients.drain(8.0)
         _audit(site, clients, outcome, faults)
         await clients.close()
@@ -78,17 +80,18 @@
     return outcome
 
 
-async def _round(site: Site, clients: Clients, fault: str, outcome: Outcome, draw: random.Random,
-                 faults: list[tuple[float, float, str]], rate: float, frozen_s: tuple[float, ...]) -> None:
-    await asyncio.sleep(draw.uniform(0.1, 0.3))
-    victim = draw.choice(site.serving) if site.plain else site.holder()
+async def _round(site: Site, clients: Clients, fault: str, outcome: Outcome, rng: random.Random,
+                 faults: list[tuple[float, float, str]], rate: float,
+                 freeze_durations_s: tuple[float, ...]) -> None:
+    await asyncio.sleep(rng.uniform(0.1, 0.3))
+    victim = rng.choice(site.serving) if site.round_robin else site.holder()
     if victim is None:
         outcome.unmoved += 1
         await site.wait_settled()
         return
-    clients.rate = rate * JUMP
-    seen = len(site.front.served)
-    at = time.monotonic()
+    clients.rate = rate * BURST_FACTOR
+    answers_before = len(site.front.ok_answers)
+    fault_at = time.monotonic()
     if fault == "kill":
         site.kill(victim)
     elif fault == "freeze":
@@ -96,81 +99,86 @@
     elif fault == "handover":
         victim.signal(signal.SIGTERM)
     else:
-        site.split(victim, both=fault == "split")
-    moved = None
-    while moved is None and time.monotonic() - at < MOVE_S:
+        site.isolate(victim, both=fault == "split")
+    moved_at = None
+    while moved_at is None and time.monotonic() - fault_at < MOVE_TIMEOUT_S:
         await asyncio.sleep(0.002)
-        moved = next((t for t, ip in site.front.served[seen:] if ip != victim.ip and t > at), None)
-    if site.plain:
-        moved = None  # the others serve all along; what counts is the worth
-    elif moved is None:
+        moved_at = next((answered_at for answered_at, ip in site.front.ok_answers[answers_before:]
+                         if ip != victim.ip and answered_at > fault_at), None)
+    if site.round_robin:
+        moved_at = None  # the other daemons serve throughout; the lost worth is the result
+    elif moved_at is None:
         outcome.unmoved += 1
     else:
-        outcome.moved_ms.append((moved - at) * 1000.0)
+        outcome.moved_ms.append((moved_at - fault_at) * 1000.0)
     if fault == "freeze":
-        await asyncio.sleep(max(0.0, draw.choice(frozen_s) - (time.monotonic() - at)))
-        site.thaw(victim)
-    await asyncio.sleep(max(0.0, 1.0 - (time.monotonic() - at)))
+        await asyncio.sleep(max(0.0, rng.choice(freeze_durations_s) - (time.monotonic() - fault_at)))
+        site.resume(victim)
+    await asyncio.sleep(max(0.0, 1.0 - (time.monotonic() - fault_at)))
     clients.rate = rate
     if fault == "handover" and victim.process is not None:
-        while victim.process.poll() is None and time.monotonic() - at < 10.0:
+        while victim.process.poll() is None and time.monotonic() - fault_at < 10.0:
             await asyncio.sleep(0.01)
         victim.kill()
     if fault in ("kill", "handover"):
-        if site.plain:
-            await asyncio.sleep(max(0.0, 2.6 - (time.monotonic() - at)))
+        if site.round_robin:
+            await asyncio.sleep(max(0.0, 2.6 - (time.monotonic() - fault_at)))
         site.restart(victim)
     site.relay.heal()
-    faults.append((at, time.monotonic(), victim.ip))
+    faults.append((fault_at, time.monotonic(), victim.ip))
     await site.wait_settled()
-    site.front.back(victim.ip)
+    site.front.note_ready(victim.ip)
 
 
 def _audit(site: Site, clients: Clients, outcome: Outcome, faults: list[tuple[float, float, str]]) -> None:
-    """Hold the workers' counts against the clients' rows."""
-    once = {i for i, c in site.workers.class_by_request.items() if c != "poloha"}
-    outcome.duplicates = sum(1 for i in once if site.workers.executions[i] > 1)
-    outcome.doubles = clients.surplus
+    """Check the workers' counts against the clients' records."""
+    at_most_once = {request_id for request_id, class_name in site.workers.class_by_request.items()
+                    if class_name != "poloha"}
+    outcome.duplicates = sum(1 for request_id in at_most_once if site.workers.executions[request_id] > 1)
+    outcome.doubles = clients.unexpected_answers
     outcome.rows = len(clients.rows)
-    outcome.endings = dict(Counter(str(r.ending) for r in clients.rows))
+    outcome.endings = dict(Counter(str(r.status) for r in clients.rows))
     for row in clients.rows:
-        if row.ending == 0:
-            why = _why(row, faults)
-            outcome.unanswered[why] = outcome.unanswered.get(why, 0) + 1
+        if row.status == 0:
+            reason = _classify_unanswered(row, faults)
+            outcome.unanswered[reason] = outcome.unanswered.get(reason, 0) + 1
     for job in clients.jobs:
-        if job.cls == "vyuctovani" and job.ended and any(a <= job.sent < a + WINDOW_S for a, _, _ in faults):
-            outcome.vyuctovani_asked += WORTH[job.cls]
-            outcome.vyuctovani_served += WORTH[job.cls] * job.served
+        if job.class_name == "vyuctovani" and job.ended_at and any(
+                fault_at <= job.sent_at < fault_at + WORTH_WINDOW_S for fault_at, _, _ in faults):
+            outcome.vyuctovani_asked += WORTH[job.class_name]
+            outcome.vyuctovani_served += WORTH[job.class_name] * job.served
 
 
-def _why(row: Row, faults: list[tuple[float, float, str]]) -> str:
-    """Why a try had no answer: what its sending and its end say of the fault."""
-    for at, back, _ in faults:
-        if row.sent <= at < row.sent + row.took:
+def _classify_unanswered(row: TryRecord, faults: list[tuple[float, float, str]]) -> str:
+    """Why a try had no answer, by when it was sent and when it ended relative to the faults."""
+    for fault_at, recovered_at, _ in faults:
+        if row.sent_at <= fault_at < row.sent_at + row.duration_s:
             return "open when the fault came"
-        if at < row.sent < back + 0.5:
+        if fault_at < row.sent_at < recovered_at + 0.5:
             return "sent while the address moved"
     return "no fault near"
 
 
-def lines(outcome: Outcome, title: str) -> list[str]:
-    """The summary in words."""
-    p = outcome.percentiles()
+def format_summary(outcome: Outcome, title: str) -> list[str]:
+    """The lines of the summary."""
+    percentiles = outcome.percentiles()
     return [
         f"{title}: {outcome.rounds} rounds, {outcome.unmoved} without a move",
-        f"  moved in ms: p50 {p['p50']:.0f}, p99 {p['p99']:.0f}, max {p['max']:.0f}" if outcome.moved_ms else
+        f"  moved in ms: p50 {percentiles['p50']:.0f}, p99 {percentiles['p99']:.0f}, "
+        f"max {percentiles['max']:.0f}" if outcome.moved_ms else
         "  no address moves here",
         f"  never-twice jobs run twice {outcome.duplicates}, answers beyond one {outcome.doubles}",
         f"  tries {outcome.rows}, by ending {dict(sorted(outcome.endings.items()))}",
         f"  without an answer {dict(sorted(outcome.unanswered.items()))}",
-        f"  vyuctovani worth in the {WINDOW_S:.0f} s after a fault: asked {outcome.vyuctovani_asked:.0f}, "
+        f"  vyuctovani worth in the {WORTH_WINDOW_S:.0f} s after a fault: asked {outcome.vyuctovani_asked:.0f}, "
         f"lost {outcome.vyuctovani_asked - outcome.vyuctovani_served:.0f}",
     ]
 
 
 def save(outcomes: dict[str, Outcome], path: Path) -> None:
-    """Write the figures as JSON, and a plot of the moves beside it."""
-    path.write_text(json.dumps({k: {**asdict(o), **o.percentiles()} for k, o in outcomes.items()}, indent=1))
+    """Write the results as JSON, and a plot of the times to a move beside it."""
+    path.write_text(json.dumps(
+        {name: {**asdict(outcome), **outcome.percentiles()} for name, outcome in outcomes.items()}, indent=1))
     import matplotlib
 
     matplotlib.use("Agg")
@@ -179,9 +187,9 @@
     figure, axes = pyplot.subplots(figsize=(8, 4.5))
     for name, outcome in outcomes.items():
         if outcome.moved_ms:
-            found = sorted(outcome.moved_ms)
-            axes.step(found, [(i + 1) / len(found) for i in range(len(found))], where="post",
-                      label=f"{name} ({len(found)})")
+            durations_ms = sorted(outcome.moved_ms)
+            axes.step(durations_ms, [(i + 1) / len(durations_ms) for i in range(len(durations_ms))], where="post",
+                      label=f"{name} ({len(durations_ms)})")
     axes.axvline(1000.0, color="grey", linestyle=":", label="the aim: 1 s")
     axes.set(xlabel="ms from the fault to the first answer by the new holder", ylabel="share of moves",
              title="Moves of the service address", ylim=(0, 1.02))
--- a/gaphub/lab/fleet.py
+++ b/gaphub/lab/fleet.py
@@ -1,7 +1,6 @@
-"""Owns the sums over a fleet's logs: what all schedulers together did in each second.
+"""Sums of a fleet's counters: what all schedulers together counted in each second.
 
-It reads lines that ``log.counters_s`` makes a daemon write, in the plain form, and nothing else of a log.
-It must never start anything or write to a log.
+It reads the lines that ``log.counters_s`` makes a scheduler write in the plain form, and ignores all others.
 """
 
 from __future__ import annotations
@@ -13,59 +12,60 @@
 
 from ..metrics import GAINED
 
-# A line may stand behind the time at which whoever kept the log took it in, in seconds.
+# A line may be prefixed with the time, in seconds, at which the log collector received it.
 _LINE = re.compile(rf"^(?:(\d+(?:\.\d+)?) )?gaphub: {GAINED}: (.*)$")
 _GAIN = re.compile(r"([\w.]+)=(\d+)")
 
 
-class Sums:
-    """What was gained, by moment and counter: over all logs, and the most at one of them."""
+class CounterSums:
+    """Increments by second and counter: the sum over all logs, and the maximum in one log."""
 
     def __init__(self) -> None:
-        self.all: defaultdict[int, Counter[str]] = defaultdict(Counter)
-        self.most: defaultdict[int, Counter[str]] = defaultdict(Counter)
+        self.total: defaultdict[int, Counter[str]] = defaultdict(Counter)
+        self.peak: defaultdict[int, Counter[str]] = defaultdict(Counter)
 
-    def take(self, lines: Iterable[str]) -> int:
-        """Take one scheduler's log in; how many lines of it told gains.
+    def add_log(self, lines: Iterable[str]) -> int:
+        """Add the log of one scheduler; returns the number of its lines that held increments.
 
-        A line without a time is of the moment after the line before it.  Odd lines are passed over.
+        A line without a time counts for the second after that of the line before it.  Other lines are skipped.
         """
-        own: defaultdict[int, Counter[str]] = defaultdict(Counter)
-        found = 0
-        at = -1
+        log_gains: defaultdict[int, Counter[str]] = defaultdict(Counter)
+        matched = 0
+        second = -1
         for line in lines:
             match = _LINE.match(line.rstrip("\n"))
             if match is None:
                 continue
-            found += 1
-            at = int(float(match[1])) if match[1] else at + 1
-            own[at].update({name: int(n) for name, n in _GAIN.findall(match[2])})
-        for moment, gains in own.items():
-            self.all[moment].update(gains)
-            self.most[moment] |= gains
-        return found
+            matched += 1
+            second = int(float(match[1])) if match[1] else second + 1
+            log_gains[second].update({name: int(n) for name, n in _GAIN.findall(match[2])})
+        for second, gains in log_gains.items():
+            self.total[second].update(gains)
+            self.peak[second] |= gains
+        return matched
 
     def table(self, wanted: list[str]) -> list[list[str]]:
-        """Rows of text: a head, a row for each moment, and the whole; a cell is ``sum (most at one)``.
+        """Rows of text: a heading, a row for each second, and the totals; a cell is ``sum (maximum in one log)``.
 
-        ``wanted``: counters, or the beginnings of counters' names; none: all of them.
+        ``wanted``: counters, or prefixes of counter names; empty: all.
         """
-        names = sorted({n for gains in self.all.values() for n in gains
-                        if not wanted or any(n.startswith(w) for w in wanted)})
+        names = sorted({name for gains in self.total.values() for name in gains
+                        if not wanted or any(name.startswith(w) for w in wanted)})
         rows = [["s", *names]]
-        for moment in sorted(self.all):
-            rows.append([str(moment), *(f"{self.all[moment][n]} ({self.most[moment][n]})" for n in names)])
-        rows.append(["all", *(str(sum(gains[n] for gains in self.all.values())) for n in names)])
+        for second in sorted(self.total):
+            rows.append(
+                [str(second), *(f"{self.total[second][name]} ({self.peak[second][name]})" for name in names)])
+        rows.append(["all", *(str(sum(gains[name] for gains in self.total.values())) for name in names)])
         return rows
 
 
-def read(folder: Path) -> Sums:
-    """The sums over every ``*.log`` of a folder; OSError if it cannot be read, ValueError if none tells."""
-    sums = Sums()
-    found = 0
+def read_folder(folder: Path) -> CounterSums:
+    """The sums over every ``*.log`` of a folder; OSError if one cannot be read, ValueError if no line matches."""
+    sums = CounterSums()
+    matched = 0
     for path in sorted(folder.glob("*.log")):
         with path.open(encoding="utf-8", errors="replace") as lines:
-            found += sums.take(lines)
-    if not found:
-        raise ValueError(f"no log in {folder} tells gains: set log.counters_s")
+            matched += sums.add_log(lines)
+    if not matched:
+        raise ValueError(f"no log in {folder} has counter lines: set log.counters_s")
     return sums
--- a/gaphub/lab/idle.py
+++ b/gaphub/lab/idle.py
@@ -1,6 +1,6 @@
-"""Owns the measurement of an idle daemon as the platform runs it: time to ready, and memory once it is.
+"""Measures an idle scheduler: the time until it is ready, and its resident memory after that.
 
-It must start the program as `run` does, with the fronts as they are shipped.
+It has to start the program as the deployment does, with the fronts file that is shipped.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 READY_S = 20.0
 
 
-async def once(tree: Path, python: str, port: int, fleet: int = 0) -> tuple[float, float]:
-    """One start of the program in ``tree``: ms until `/-/ready` says 200, and MB resident a second later.
+async def measure_once(checkout: Path, python: str, port: int, fleet: int = 0) -> tuple[float, float]:
+    """Start the program in ``checkout`` once: ms until `/-/ready` answers 200, and MB resident a second later.
 
-    ``fleet``: how many peers and workers it is told of; its name in messages is that of the first peer.
+    ``fleet``: number of configured peers and workers; the first peer is the scheduler itself.
     """
     agent = Agent([("127.0.0.1", 1 + i) for i in range(fleet)])
     await agent.open()
@@ -39,14 +39,14 @@
         env = {**os.environ, "LB_CONFIG": str(file), "PYTHONDONTWRITEBYTECODE": "1"}
         for name in ("LB_FRONTS", "LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "PYTHONPATH"):
             env.pop(name, None)
-        began = time.monotonic()
-        process = subprocess.Popen([python, "-m", "gaphub"], cwd=tree, env=env, stderr=subprocess.DEVNULL)
+        started_at = time.monotonic()
+        process = subprocess.Popen([python, "-m", "gaphub"], cwd=checkout, env=env, stderr=subprocess.DEVNULL)
         try:
             while not await _ready(port):
-                if time.monotonic() - began > READY_S or process.poll() is not None:
-                    raise TimeoutError(f"{tree}: not ready")
+                if time.monotonic() - started_at > READY_S or process.poll() is not None:
+                    raise TimeoutError(f"{checkout}: the scheduler did not become ready")
                 await asyncio.sleep(0.002)
-            took = (time.monotonic() - began) * 1000.0
+            took = (time.monotonic() - started_at) * 1000.0
             await asyncio.sleep(1.0)
             status = Path(f"/proc/{process.pid}/status").read_text()
             kilobytes = int(status.partition("VmRSS:")[2].split()[0])
@@ -72,12 +72,12 @@
         writer.close()
 
 
-def measure(trees: list[Path], python: str, runs: int, port: int, fleet: int = 0
+def measure(checkouts: list[Path], python: str, runs: int, port: int, fleet: int = 0
             ) -> dict[str, tuple[float, float]]:
-    """Median ms and MB of each tree, the trees taking turns; ``fleet``: peers and workers that it is told of."""
-    found: dict[str, list[tuple[float, float]]] = {str(t): [] for t in trees}
+    """Median ms and MB of each checkout, measured in turns; ``fleet``: number of configured peers and workers."""
+    found: dict[str, list[tuple[float, float]]] = {str(checkout): [] for checkout in checkouts}
     for _ in range(runs):
-        for tree in trees:
-            found[str(tree)].append(asyncio.run(once(tree, python, port, fleet)))
-    return {t: (statistics.median(x[0] for x in rows), statistics.median(x[1] for x in rows))
-            for t, rows in found.items()}
+        for checkout in checkouts:
+            found[str(checkout)].append(asyncio.run(measure_once(checkout, python, port, fleet)))
+    return {name: (statistics.median(x[0] for x in rows), statistics.median(x[1] for x in rows))
+            for name, rows in found.items()}
--- a/gaphub/lab/requests.py
+++ b/gaphub/lab/requests.py
@@ -1,7 +1,7 @@
-"""Owns the reading of a fleet's request lines, in the order in which the requests were done with.
+"""Reads the request lines in the logs of a fleet, in the order in which the requests were finished.
 
-It reads lines that ``log.requests`` makes a daemon write, in the plain form, and nothing else of a log.
-It must never start anything or write to a log, nor hold more than one line of each log.
+It reads the lines that ``log.requests`` makes a scheduler write in the plain form, and ignores all others.  At
+most one line of each log is held in memory.
 """
 
 from __future__ import annotations
@@ -14,74 +14,75 @@
 
 _LINE = re.compile(r"^(?:(\d+(?:\.\d+)?) )?gaphub: request: (.*)$")
 _PART = re.compile(r"(\w+)=(\S+)")
-RAN = frozenset(("ok", "error"))  # outcomes of calls that ran, also where workers tell no start
+# Outcomes of calls whose job ran, also where workers do not report the start.
+RAN = frozenset(("ok", "error"))
 
 
 @dataclass(slots=True)
 class Call:
-    """One call of a request; times in ms since the request was received, -1 for what never happened."""
+    """One outbound call of a request; times in ms since the request was received, -1 for what never happened."""
 
     worker: str
     outcome: str
     sent_after: float
     duration: float
-    age: float  # of the worker's process when it was sent; 0: by the clocks it had not started
-    kind: int  # of the worker, by its number
-    started: float  # when the worker told that it runs
-    first_byte_sent: float  # when its first byte left
+    age: float  # of the worker's process when the call was sent; 0: by the clocks it had not started yet
+    kind: int  # kind of worker, by its index
+    started: float  # when the worker reported the start of the job
+    first_byte_sent: float  # when the first byte of the call was sent
 
     @property
     def ran(self) -> bool:
-        """Whether a worker is known to have run it."""
+        """Whether a worker is known to have run the job."""
         return self.started >= 0.0 or self.outcome in RAN
 
     @property
     def ended_at(self) -> float:
-        """When its outcome came."""
+        """When the outcome of the call was known."""
         return self.sent_after + self.duration
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request as the scheduler that took it told it."""
+    """One request as logged by the scheduler that received it."""
 
     scheduler: str
-    at: float  # s, when whoever kept the log took the line in; 0 if it holds no time
+    logged_at: float  # in s, when the log collector received the line; 0 if the line has no time
     fields: dict[str, str]
     calls: list[Call]
-    text: str
+    line: str
 
     @property
     def received_at(self) -> float:
-        """Unix time in ms at which it was received."""
+        """Unix time in ms at which the request was received."""
         return float(self.fields.get("at", 0.0))
 
     @property
     def answered_after(self) -> float:
-        """When it was answered, in ms since it was received; 0 if never."""
+        """When it was answered, in ms since it was received; 0 if it was not."""
         return float(self.fields.get("after", 0.0))
 
     @property
     def finished_at(self) -> float:
-        """Unix time in ms at which nothing of it was out any more."""
+        """Unix time in ms at which it was answered and no call of it was open any more."""
         return self.received_at + max([self.answered_after, *(c.ended_at for c in self.calls)])
 
     @property
     def served_by(self) -> Call | None:
-        """The call whose answer was the request's."""
+        """The call whose answer was passed on as the request's answer."""
         return next((c for c in self.calls if c.outcome == "ok"), None) if self.end == "served" else None
 
     @property
     def end(self) -> str:
-        """Its final answer, and why behind a colon."""
+        """How it ended, with the reason after a colon."""
         return self.fields.get("end", "")
 
     def called_young_worker(self, within_ms: float) -> bool:
-        """Whether any of its calls went to a worker that had run for less than this."""
+        """Whether any of its calls went to a worker that had run for less than ``within_ms``."""
         return any(0.0 < c.age < within_ms for c in self.calls)
 
     def outcomes(self) -> str:
-        """How its calls ended, in order; ``-`` where none was sent."""
+        """The outcomes of its calls in order; ``-`` if it had none."""
         return "+".join(c.outcome for c in self.calls) or "-"
 
 
@@ -90,7 +91,7 @@
 
 
 def _parse_call(text: str) -> Call:
-    """A call as ``Core`` writes it; ValueError where another version did."""
+    """Parse a call in the format that ``Core`` writes; ValueError for the format of another version."""
     worker, outcome, span, age, kind, started, first_byte_sent = text.split(",")
     sent_after, _, duration = span.partition("+")
     return Call(worker, outcome, float(sent_after), float(duration), float(age), int(kind),
@@ -98,7 +99,7 @@
 
 
 def read_log(path: Path) -> Iterator[RequestRecord]:
-    """Every request line of one log; OSError if it cannot be read, ValueError if another version wrote it."""
+    """Every request in one log; OSError if it cannot be read, ValueError if another version wrote it."""
     with path.open(encoding="utf-8", errors="replace") as lines:
         for number, line in enumerate(lines, 1):
             match = _LINE.match(line.rstrip("\n"))
@@ -113,8 +114,8 @@
 
 
 def read_records(folder: Path) -> Iterator[RequestRecord]:
-    """Every request line of every ``*.log`` of a folder, by the schedulers' clocks; errors as ``read_one``.
+    """Every request in every ``*.log`` of a folder, by the schedulers' clocks; errors as in ``read_log``.
 
-    All logs are open together.
+    All logs are open at the same time.
     """
     return merge(*(read_log(path) for path in sorted(folder.glob("*.log"))), key=lambda record: record.finished_at)
--- a/gaphub/lab/site.py
+++ b/gaphub/lab/site.py
@@ -1,6 +1,6 @@
-"""Owns one site on loopback: daemons in processes of their own, the stand-ins around them, and the faults.
+"""Runs one site on loopback: scheduler processes, the stand-ins around them, and fault injection.
 
-Everything it starts it ends: ``close`` kills every process and gives every socket and the folder back.
+``Site.close`` kills every process that was started, closes every socket and deletes the folder.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from .front import ROUTER_AS, SITE_AS, Front
 from .world import Agent, Relay, Workers
 
-SERVICE = "192.0.2.80"  # RFC 5737: a name for the route; nothing listens there
+SERVICE = "192.0.2.80"  # the announced route, a documentation address (RFC 5737); nothing listens there
 CLASSES: list[dict[str, Any]] = [
     {"name": "poloha", "slo": 500.0, "deadline": 5000.0, "credit": 3.0, "idempotency": "idempotent"},
     {"name": "udalost", "slo": 1000.0, "deadline": 10000.0, "credit": 2.0, "idempotency": "at_most_once"},
@@ -42,10 +42,10 @@
 READY_S = 15.0
 
 
-def start_gaphub(folder: Path, name: str, words: list[str]) -> subprocess.Popen[bytes]:
-    """Start ``python -m gaphub WORDS`` with the ``config.json`` and ``fronts.toml`` of its folder.
+def start_gaphub(folder: Path, name: str, arguments: list[str]) -> subprocess.Popen[bytes]:
+    """Start ``python -m gaphub ARGUMENTS`` with the ``config.json`` and ``fronts.toml`` in ``folder``.
 
-    It logs to ``log`` there.  The caller owns the process and ends it.
+    Its output goes to the file ``log`` there.  The caller has to end the process.
     """
     env = {**os.environ, "LB_CONFIG": str(folder / "config.json"), "LB_NAME": name,
            "LB_FRONTS": str(folder / "fronts.toml"),
@@ -53,12 +53,12 @@
     for variable in ("LB_LISTEN", "LB_DISCOVERY"):
         env.pop(variable, None)
     with open(folder / "log", "ab") as log:
-        return subprocess.Popen([sys.executable, "-m", "gaphub", *words], env=env, stdout=log, stderr=log,
+        return subprocess.Popen([sys.executable, "-m", "gaphub", *arguments], env=env, stdout=log, stderr=log,
                                 stdin=subprocess.DEVNULL)
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listens on now."""
+    """A TCP port of 127.0.0.1 that is free now."""
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         port: int = s.getsockname()[1]
@@ -66,7 +66,7 @@
 
 
 class Daemon:
-    """One gaphub process, or a witness."""
+    """One member of the cluster: a scheduler process or a witness."""
 
     def __init__(self, site: Site, number: int, witness: bool) -> None:
         self.site = site
@@ -81,15 +81,16 @@
         self.kills = 0
 
     def configure(self) -> None:
-        """Write its files."""
+        """Write the member's configuration files."""
         site = self.site
         lines = ["[cluster]", f'listen = "{self.ip}:7946"', 'name = "lab"', f"me = {self.number}",
                  f'keys = "{site.folder / "keys.toml"}"', f'state = "{self.folder / "vote"}"', "moves_most = 0",
                  f"lease_ms = {site.lease_ms}", f"renew_ms = {site.lease_ms / 4}",
                  f"ballot_ms = {site.lease_ms * 0.375}"]
         for d in site.daemons:
-            at = f"{d.ip}:7946" if d is self else "{}:{}".format(*site.relay.ports[(self.number, d.number)])
-            lines += ["[[cluster.members]]", f"id = {d.number}", f'name = "{d.name}"', f'address = "{at}"',
+            address = f"{d.ip}:7946" if d is self else "{}:{}".format(
+                *site.relay.ports[(self.number, d.number)])
+            lines += ["[[cluster.members]]", f"id = {d.number}", f'name = "{d.name}"', f'address = "{address}"',
                       f"stands = {str(not d.witness).lower()}"]
         lines += ["[admin]", f'socket = "{self.admin}"', "[log]", 'form = "logfmt"']
         if not self.witness:
@@ -101,17 +102,17 @@
                       f'bfd = "{site.front_ip}:{3784 + self.number}"', f'bfd_listen = "{self.ip}:3784"']
         (self.folder / "fronts.toml").write_text("\n".join(lines) + "\n")
         scheduling = [d for d in site.daemons if not d.witness]
-        me = scheduling.index(self) if self in scheduling else 0
+        index = scheduling.index(self) if self in scheduling else 0
         (self.folder / "config.json").write_text(json.dumps({
             "name": self.name, "listen": f"{self.ip}:7000", "seed": f"{self.number:x}",
             "discovery": "{}:{}".format(*site.agent.address),
             "known": {"version": 0, "full": True, "servers": []},
-            "settings": {**SETTINGS, "me": me, "balancers": len(scheduling)}}))
+            "settings": {**SETTINGS, "me": index, "balancers": len(scheduling)}}))
 
     def start(self) -> None:
         """Start the process."""
-        words = ["witness", "--config", str(self.folder / "fronts.toml")] if self.witness else []
-        self.process = start_gaphub(self.folder, self.name, words)
+        arguments = ["witness", "--config", str(self.folder / "fronts.toml")] if self.witness else []
+        self.process = start_gaphub(self.folder, self.name, arguments)
 
     def signal(self, number: int) -> None:
         """Send a signal to the process."""
@@ -119,7 +120,7 @@
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it outright."""
+        """Kill the process with SIGKILL."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
@@ -127,24 +128,24 @@
             self.kills += 1
 
     async def status(self, within_s: float = 1.0) -> dict[str, Any] | None:
-        """What it says of itself; None where it does not answer."""
+        """The status from its admin socket; None if it does not answer."""
         try:
-            told: dict[str, Any] = await ask(self.admin, "status", within_s)
-            return told
+            status: dict[str, Any] = await ask(self.admin, "status", within_s)
+            return status
         except (OSError, TimeoutError, ValueError):
             return None
 
 
 class Site:
-    """A front layer, an agent, workers, daemons, and the relay between them."""
+    """A front layer, a discovery agent, workers, cluster members, and the relay between the members."""
 
-    def __init__(self, daemons: int = 3, witnesses: int = 0, workers: int = 4, plain: bool = False,
+    def __init__(self, daemons: int = 3, witnesses: int = 0, workers: int = 4, round_robin: bool = False,
                  seed: int = 1, lease_ms: float = 400.0) -> None:
-        self.draw = random.Random(seed)
-        self.net = f"127.{self.draw.randint(10, 250)}.{os.getpid() % 250 + 1}"
+        self.rng = random.Random(seed)
+        self.net = f"127.{self.rng.randint(10, 250)}.{os.getpid() % 250 + 1}"
         self.front_ip = f"{self.net}.1"
         self.folder = Path(tempfile.mkdtemp(prefix="gaphub-lab-"))
-        self.plain = plain
+        self.round_robin = round_robin
         self.seed = seed
         self.lease_ms = lease_ms
         self.workers = Workers(WORK_MS, seed)
@@ -153,15 +154,15 @@
         self.daemons = [Daemon(self, i + 1, i >= daemons) for i in range(daemons + witnesses)]
         self.serving = [d for d in self.daemons if not d.witness]
         self.relay = Relay({d.number: (d.ip, 7946) for d in self.daemons}, seed)
-        port = 7000 if plain else 8000
-        self.front = Front(self.front_ip, SERVICE, {d.ip: (d.ip, port) for d in self.serving}, plain, seed)
+        port = 7000 if round_robin else 8000
+        self.front = Front(self.front_ip, SERVICE, {d.ip: (d.ip, port) for d in self.serving}, round_robin, seed)
 
     def clients(self, rate: float) -> Clients:
-        """Clients that come by the front layer."""
+        """Clients that connect to the front layer."""
         return Clients(self.front.address, rate, self.seed)
 
     async def open(self) -> None:
-        """Start everything and wait until the address is served."""
+        """Start everything, and wait until the service address is announced and all members are up."""
         await self.workers.open(self.worker_count)
         await self.agent.open()
         await self.relay.open()
@@ -176,50 +177,54 @@
         await self.wait_settled()
 
     async def wait_settled(self, within_s: float = READY_S) -> float:
-        """Wait until a holder is announced and everybody is up and remembers; how long that took, in s."""
+        """Wait until a holder is announced and every member is up with its state restored; the time taken in s.
+
+        TimeoutError, with the end of every log, if that takes longer than ``within_s``.
+        """
         began = time.monotonic()
         while time.monotonic() - began < within_s:
-            told = [await d.status() for d in self.daemons]
-            sound = all(t is not None and t["cluster"]["remembers"] and
-                        all(m["alive"] for m in t["cluster"]["members"]) for t in told)
-            if sound and (self.plain or (self.front.next_hop and self._bfd_up())):
+            statuses = [await d.status() for d in self.daemons]
+            all_healthy = all(status is not None and status["cluster"]["remembers"] and
+                              all(m["alive"] for m in status["cluster"]["members"]) for status in statuses)
+            if all_healthy and (self.round_robin or (self.front.next_hop and self._bfd_up())):
                 return time.monotonic() - began
             await asyncio.sleep(0.03)
         logs = "".join((d.folder / "log").read_text()[-600:] for d in self.daemons)
-        raise TimeoutError(f"the site did not settle: {[t and t['cluster'] for t in told]}\n{logs}")
+        raise TimeoutError(
+            f"the site did not become ready: {[status and status['cluster'] for status in statuses]}\n{logs}")
 
     def _bfd_up(self) -> bool:
         return all(w.session.state == 3 for w in self.front.watchers.values())
 
     def holder(self) -> Daemon | None:
-        """Whom the router believes."""
+        """The daemon to which the router's route points."""
         return next((d for d in self.serving if d.ip == self.front.next_hop), None)
 
     # -- faults --
 
     def kill(self, daemon: Daemon) -> None:
-        """Kill outright."""
+        """Kill a daemon with SIGKILL."""
         daemon.kill()
-        self.front.killed(daemon.ip)
+        self.front.note_killed(daemon.ip)
 
     def restart(self, daemon: Daemon) -> None:
-        """Start again what was killed."""
+        """Start a killed daemon again."""
         daemon.start()
 
     def freeze(self, daemon: Daemon) -> None:
-        """SIGSTOP: it keeps its sockets and says nothing."""
+        """Stop the process with SIGSTOP: its sockets stay open and it sends nothing."""
         daemon.signal(signal.SIGSTOP)
 
-    def thaw(self, daemon: Daemon) -> None:
-        """SIGCONT."""
+    def resume(self, daemon: Daemon) -> None:
+        """Let a frozen process run again (SIGCONT)."""
         daemon.signal(signal.SIGCONT)
 
-    def split(self, daemon: Daemon, both: bool = True) -> None:
-        """Cut one member off the others; routers and clients still reach it."""
-        self.relay.split({daemon.number}, {d.number for d in self.daemons if d is not daemon}, both)
+    def isolate(self, daemon: Daemon, both: bool = True) -> None:
+        """Partition one member from the others; routers and clients still reach it."""
+        self.relay.partition({daemon.number}, {d.number for d in self.daemons if d is not daemon}, both)
 
     async def close(self) -> None:
-        """End everything."""
+        """Kill all processes, close all sockets and delete the folder."""
         for d in self.daemons:
             d.signal(signal.SIGCONT)
             d.kill()
--- a/gaphub/lab/world.py
+++ b/gaphub/lab/world.py
@@ -1,6 +1,6 @@
-"""Owns the stand-ins around the daemons: workers that count executions, discovery's agent, the members' relay.
+"""Stand-ins around the scheduler: workers that count executions, the discovery agent, the relay between members.
 
-They follow the platform's protocol as its clients see it and must never be lenient: a job that comes twice is
+They implement the platform's protocol as its clients see it, and never leniently: a job that arrives twice is
 counted twice.
 """
 
@@ -16,28 +16,28 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """The first line and the headers, by small letters; IncompleteReadError at the end."""
+    """Read the start line and the headers, by lower-case name; IncompleteReadError at the end of the stream."""
     raw = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = raw[:-4].split("\r\n")
     return first, {k.strip().lower(): v.strip() for k, _, v in (x.partition(":") for x in lines)}
 
 
 class Workers:
-    """Workers of one process; ``ran`` counts executions by request id."""
+    """Workers in this process; ``executions`` counts the executions of each request ID."""
 
     def __init__(self, work_ms: dict[str, float], seed: int = 1) -> None:
         self.work_ms = work_ms
         self.executions: Counter[str] = Counter()
         self.class_by_request: dict[str, str] = {}
         self.addresses: list[Address] = []
-        self.jobs_running: Counter[Address] = Counter()  # jobs under way, by worker
-        self.jobs_started: Counter[Address] = Counter()  # jobs begun, by worker
-        self.peak_running = 0  # the most under way at one worker at once
-        self._draw = random.Random(seed)
+        self.jobs_running: Counter[Address] = Counter()  # by worker
+        self.jobs_started: Counter[Address] = Counter()  # by worker
+        self.peak_running = 0  # the largest number of jobs that ran at one worker at once
+        self._random = random.Random(seed)
         self._servers: list[asyncio.Server] = []
 
     async def open(self, count: int) -> None:
-        """Listen with so many."""
+        """Start ``count`` workers, each listening on a port of its own."""
         for _ in range(count):
             server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
             self._servers.append(server)
@@ -56,18 +56,19 @@
                 if not first.startswith("POST"):
                     writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                     continue
-                ident, cls = headers["x-request-id"], headers["x-priority-class"]
-                self.executions[ident] += 1
-                self.class_by_request[ident] = cls
-                at = writer.get_extra_info("sockname")[:2]
-                self.jobs_running[at] += 1
-                self.jobs_started[at] += 1
-                self.peak_running = max(self.peak_running, self.jobs_running[at])
+                request_id, class_name = headers["x-request-id"], headers["x-priority-class"]
+                self.executions[request_id] += 1
+                self.class_by_request[request_id] = class_name
+                worker = writer.get_extra_info("sockname")[:2]
+                self.jobs_running[worker] += 1
+                self.jobs_started[worker] += 1
+                self.peak_running = max(self.peak_running, self.jobs_running[worker])
                 try:
-                    await asyncio.sleep(self.work_ms[cls] * self._draw.uniform(0.7, 1.3) / 1000.0)
+                    await asyncio.sleep(self.work_ms[class_name] * self._random.uniform(0.7, 1.3) / 1000.0)
                 finally:
-                    self.jobs_running[at] -= 1
-                line = json.dumps({"id": ident, "state": "done", "result": f"{ident}:{len(body)}"}) + "\n"
+                    self.jobs_running[worker] -= 1
+                line = json.dumps(
+                    {"id": request_id, "state": "done", "result": f"{request_id}:{len(body)}"}) + "\n"
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                              + f"{len(line):x}\r\n{line}\r\n0\r\n\r\n".encode())
                 await writer.drain()
@@ -78,14 +79,14 @@
 
 
 class Agent:
-    """Discovery's agent: the whole list, and watches that wait."""
+    """Discovery agent: answers with the full list of workers, and holds watches open until the list changes."""
 
     def __init__(self, workers: list[Address]) -> None:
         self.workers = workers
         self.version = 1
         self.address: Address = ("", 0)
-        self.waiting_watches = 0  # watches that wait now
-        self._hushed = 0  # counts the times at which the watches that waited fell silent
+        self.waiting_watches = 0  # watches that are held open now
+        self._mute_count = 0  # incremented each time the open watches are muted
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -94,10 +95,10 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def replace(self, workers: list[Address], silent: bool = False) -> None:
-        """Other workers from now on, under other ids; ``silent``: the watches that wait now never hear of it."""
+        """Replace the list with other workers under new IDs; ``silent``: open watches are never answered."""
         self.workers = workers
         self.version += 1
-        self._hushed += silent
+        self._mute_count += silent
 
     def close(self) -> None:
         """Stop listening."""
@@ -109,21 +110,21 @@
             while True:
                 first, _ = await read_head(reader)
                 if f"index={self.version}&" in first:
-                    wait = float(first.partition("wait=")[2].split(" ")[0].split("&")[0] or 0)
-                    hushed, version = self._hushed, self.version
-                    until = asyncio.get_running_loop().time() + min(wait, 5000.0) / 1000.0
+                    wait_ms = float(first.partition("wait=")[2].split(" ")[0].split("&")[0] or 0)
+                    mute_count, version = self._mute_count, self.version
+                    watch_ends = asyncio.get_running_loop().time() + min(wait_ms, 5000.0) / 1000.0
                     self.waiting_watches += 1
                     try:
-                        while self._hushed > hushed or (
-                                self.version == version and asyncio.get_running_loop().time() < until):
+                        while self._mute_count > mute_count or (
+                                self.version == version and asyncio.get_running_loop().time() < watch_ends):
                             await asyncio.sleep(0.02)
                     finally:
                         self.waiting_watches -= 1
                 changed = f"index={self.version}&" not in first
                 answer: dict[str, Any] = {"version": self.version, "full": changed, "servers": [
-                    {"id": f"s-{i}" if self.version == 1 else f"s-{self.version}-{i}", "addr": f"{h}:{p}",
+                    {"id": f"s-{i}" if self.version == 1 else f"s-{self.version}-{i}", "addr": f"{host}:{port}",
                      "zone": "a", "kind": "m", "cell": 0, "state": "active", "weight": 1.0, "started_ms": 0}
-                    for i, (h, p) in enumerate(self.workers if changed else [])]}
+                    for i, (host, port) in enumerate(self.workers if changed else [])]}
                 body = json.dumps(answer).encode()
                 writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
                 await writer.drain()
@@ -133,7 +134,7 @@
             writer.close()
 
 
-class _Leg(asyncio.DatagramProtocol):
+class _RelaySocket(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, pair: tuple[int, int]) -> None:
         self.relay = relay
         self.pair = pair
@@ -143,62 +144,65 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.relay.pass_on(self.pair, data)
+        self.relay.forward(self.pair, data)
 
     def error_received(self, exc: Exception) -> None:
         pass
 
 
 class Relay:
-    """Carries the members' datagrams, one port for each direction of each pair; may lose, delay and cut."""
+    """Forwards datagrams between cluster members, with injected loss, delay and partitions.
+
+    Each direction of each pair of members has a port of its own.
+    """
 
     def __init__(self, targets: dict[int, Address], seed: int = 1) -> None:
         self.targets = targets
-        self.cut: set[tuple[int, int]] = set()
-        self.loss = 0.0  # share
+        self.cut_pairs: set[tuple[int, int]] = set()
+        self.loss = 0.0  # fraction of datagrams
         self.delay_ms = (0.0, 0.0)
         self.ports: dict[tuple[int, int], Address] = {}
-        self._legs: dict[tuple[int, int], _Leg] = {}
-        self._draw = random.Random(seed)
+        self._sockets: dict[tuple[int, int], _RelaySocket] = {}
+        self._random = random.Random(seed)
 
     async def open(self) -> None:
-        """Listen for every direction."""
+        """Open a socket for each direction of each pair."""
         loop = asyncio.get_running_loop()
-        for a in self.targets:
-            for b in self.targets:
-                if a != b:
-                    transport, leg = await loop.create_datagram_endpoint(
-                        lambda p=(a, b): _Leg(self, p), local_addr=("127.0.0.1", 0))  # type: ignore[misc]
-                    self._legs[(a, b)] = leg
-                    self.ports[(a, b)] = transport.get_extra_info("sockname")[:2]
+        for sender in self.targets:
+            for receiver in self.targets:
+                if sender != receiver:
+                    transport, relay_socket = await loop.create_datagram_endpoint(
+                        lambda p=(sender, receiver): _RelaySocket(self, p), local_addr=("127.0.0.1", 0))  # type: ignore[misc]
+                    self._sockets[(sender, receiver)] = relay_socket
+                    self.ports[(sender, receiver)] = transport.get_extra_info("sockname")[:2]
 
     def close(self) -> None:
-        """Give the sockets back."""
-        for leg in self._legs.values():
-            if leg.transport is not None:
-                leg.transport.close()
-
-    def split(self, one: set[int], other: set[int], both: bool = True) -> None:
-        """Cut what goes from one group to the other, and back unless it is a one-way cut."""
-        self.cut |= {(a, b) for a in one for b in other}
+        """Close the sockets."""
+        for relay_socket in self._sockets.values():
+            if relay_socket.transport is not None:
+                relay_socket.transport.close()
+
+    def partition(self, group: set[int], other_group: set[int], both: bool = True) -> None:
+        """Drop datagrams from one group to the other; with ``both``, also those in the opposite direction."""
+        self.cut_pairs |= {(sender, receiver) for sender in group for receiver in other_group}
         if both:
-            self.cut |= {(b, a) for a in one for b in other}
+            self.cut_pairs |= {(receiver, sender) for sender in group for receiver in other_group}
 
     def heal(self) -> None:
-        """Cut nothing."""
-        self.cut.clear()
+        """End all partitions."""
+        self.cut_pairs.clear()
 
-    def pass_on(self, pair: tuple[int, int], data: bytes) -> None:
-        """One datagram on its way."""
-        if pair in self.cut or self._draw.random() < self.loss:
+    def forward(self, pair: tuple[int, int], data: bytes) -> None:
+        """Forward one datagram, unless it is lost or its direction is cut."""
+        if pair in self.cut_pairs or self._random.random() < self.loss:
             return
-        delay = self._draw.uniform(*self.delay_ms) / 1000.0
+        delay = self._random.uniform(*self.delay_ms) / 1000.0
         if delay > 0:
-            asyncio.get_running_loop().call_later(delay, self._out, pair, data)
+            asyncio.get_running_loop().call_later(delay, self._send, pair, data)
         else:
-            self._out(pair, data)
+            self._send(pair, data)
 
-    def _out(self, pair: tuple[int, int], data: bytes) -> None:
-        leg = self._legs[pair]
-        if leg.transport is not None and not leg.transport.is_closing():
-            leg.transport.sendto(data, self.targets[pair[1]])
+    def _send(self, pair: tuple[int, int], data: bytes) -> None:
+        relay_socket = self._sockets[pair]
+        if relay_socket.transport is not None and not relay_socket.transport.is_closing():
+            relay_socket.transport.sendto(data, self.targets[pair[1]])
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "split", "handover"])
 def test_the_address_moves_and_nothing_runs_twice(fault: str) -> None:
-    outcome = asyncio.run(failover.run(fault, 1, rate=40.0, seed=5, frozen_s=(1.0,)))
+    outcome = asyncio.run(failover.run(fault, 1, rate=40.0, seed=5, freeze_durations_s=(1.0,)))
     assert outcome.rounds == 1
     assert outcome.unmoved == 0
     assert len(outcome.moved_ms) == 1
