--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -65,7 +65,7 @@
     PacketError,
     split_arguments,
 )
-from ...gearman.queues import Bounds, QueuedJob, Queues
+from ...gearman.queues import QueuedJob, QueueLimits, Queues
 from ...gearman.schedule import Schedule, next_occurrence, parse_epoch
 from ...interface import Effect, ListKind, Status, WorkerState
 from ...messages import Answer, Call, Destination, Fence, FinalStatus, Job, ListedDestination, Outcome
@@ -74,15 +74,15 @@
 from ...tasks import Tasks
 from ..listener import BACKLOG, shutdown_if_idle
 from ..timeouts import timeout_after_poll
-from .ends import JobResult, ResultCache
 from .functions import FunctionClasses
+from .results import JobResult, ResultCache
 from .session import Assignment, Session, Submission
 from .text import TextCommands
 
 SOURCE = "gearman"
 MAX_WORKLOAD_BYTES = 64 * 1024
 MAX_NAME_BYTES = 2 * 1024  # of a packet besides its workload
-MAX_SKIPPED_BYTES = 16 * 1024 * 1024  # a larger packet closes the session; a smaller one, if too large, is skipped
+MAX_SKIPPED_BYTES = 16 * 1024 * 1024  # an oversized packet of up to this is skipped; a larger one ends the session
 SOCKET_SHARE = 0.15  # of the file descriptors, for sessions
 MAX_QUEUED_CALLS = 4  # calls that wait for one worker to grab them; with more, the worker is full
 MAX_PARTIAL_DATA_BYTES = 64 * 1024  # of a result collected for a client that cannot receive it in parts
@@ -91,7 +91,7 @@
 HANDSHAKE_TIMEOUT_S = 3.0  # of TLS; it also closes the connection of a client that speaks plain TCP to a TLS port
 DUE_RETRY_S = 1.0  # after which a scheduled job that was due but found the queues full is tried again
 ANSWER_MARGIN_MS = 5.0  # before its client's deadline, a job that is still queued is answered
-# With at least so many times its class's aim left, a dequeued job is presented with the full deadline.
+# With this many times its class's aim left, a dequeued job is offered to the Balancer with the full deadline.
 FULL_BUDGET_AIMS = 3.0
 MAX_ENDED_BY_EXCEPTION = 64  # handles per session for which a WORK_FAIL may still follow a WORK_EXCEPTION
 DRAIN_TIMEOUT_S = 30.0  # for a peer to read what was sent to it
@@ -129,8 +129,8 @@
         self._results = ResultCache(
             self.config.ends_most, self.config.ends_bytes,
             lambda function: not self._is_at_most_once(self.functions.class_of(function) or 0))
-        self.queues = Queues(Bounds(self.config.queue_most, self.config.queue_function_most,
-                                    self.config.queue_client_most, self.config.queue_bytes))
+        self.queues = Queues(QueueLimits(self.config.queue_most, self.config.queue_function_most,
+                                         self.config.queue_client_most, self.config.queue_bytes))
         self.schedule = Schedule(self.config.schedule_most)
         self._dispatched = [0] * len(config.class_names)  # dequeued and not yet answered, by class index
         self._unstarted: Counter[tuple[bytes, int]] = Counter()  # dequeued jobs that no worker has started
@@ -140,7 +140,7 @@
             self._submissions, self._by_unique, self._refuse, shutdown)
 
     def on_lease_gained(self) -> None:
-        """Start to hold the service address; jobs of its former holder may still run."""
+        """Called when this instance gains the service address; jobs of its former holder may still run."""
         longest = [c.deadline_ms for c in self.core.settings.classes if c.effect != Effect.SAFE]
         self.hold_until = max(self.hold_until, self.core.clock.now() + max(longest, default=0.0))
 
@@ -156,13 +156,13 @@
 
             context = server_context(self.config)
         loop = asyncio.get_running_loop()
-        found = await loop.getaddrinfo(*self.address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+        addresses = await loop.getaddrinfo(*self.address, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
         # The socket is created with its protocol number: without it, asyncio does not set TCP_NODELAY, and Nagle's
         # algorithm then adds 40 ms to a job.
-        self._listener = listener = socket.socket(*found[0][:3])
+        self._listener = listener = socket.socket(*addresses[0][:3])
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
-        listener.bind(found[0][4])
+        listener.bind(addresses[0][4])
         await self._listen_on(context)
 
     async def _listen_on(self, context: ssl.SSLContext | None) -> None:
@@ -232,7 +232,7 @@
         try:
             if len(self._sessions) <= self.max_sessions:
                 self.counters.add("connections.gearman")
-                await self._read(session)
+                await self._read_packets(session)
             else:
                 self.counters.add("connections.gearman_refused")
         except (OSError, TimeoutError, EOFError, asyncio.LimitOverrunError, asyncio.CancelledError):
@@ -242,7 +242,7 @@
             writer.transport.abort()
             await self._session_ended(session)
 
-    async def _read(self, session: Session) -> None:
+    async def _read_packets(self, session: Session) -> None:
         """Handle packets and text commands one at a time, until the peer disconnects or breaks the protocol."""
         reader, writer = session.reader, session.writer
         while True:
@@ -282,7 +282,7 @@
                 async with timeout_after_poll(self.config.idle_s):
                     return await session.reader.readexactly(1)
             except TimeoutError:
-                if session.assignments or session.queue or session.awaited_jobs or session.asleep:
+                if session.assignments or session.queued_calls or session.awaited_jobs or session.asleep:
                     continue
                 if shutdown_if_idle(session.writer.get_extra_info("socket")):
                     self.counters.add("gearman.idle_closed")
@@ -300,8 +300,9 @@
             submission.waiting_clients = [s for s in submission.waiting_clients if s is not session]
             if submission.waiting_clients or submission.background or submission.job is None:
                 continue
-            # A job with a unique that was assigned to a worker goes on: its client may submit it again and join
-            # it.  One that was never assigned did not run: it is dropped, and can be submitted as a new job.
+            # A job with a unique that was assigned to a worker goes on: its client may believe it lost, submit it
+            # again and join it.  One that was never assigned did not run: it is dropped, as nobody waits for it,
+            # and can be submitted as a new job.
             if submission.unique and any(call.written for call in submission.job.calls):
                 self.counters.add("gearman.left_running")
                 continue
@@ -321,7 +322,7 @@
         if session.listed_as is not None:
             self._workers.pop(session.name, None)
             await self._list_worker(session, WorkerState.GONE, 0)
-        queued, session.queue = session.queue, []
+        queued, session.queued_calls = session.queued_calls, []
         for _, _, _, call in queued:
             await self.core.post(partial(self.core.call_ended, call, Outcome(Status.CONNECT_FAILED)))
         for handle in list(session.assignments):
@@ -358,8 +359,8 @@
             submission = self._submissions.get(arguments[0])
             session.send(STATUS_RES, arguments[0], *_status_fields(submission))
         elif kind == GET_STATUS_UNIQUE:
-            found = [w for (_, unique), w in self._by_unique.items() if unique == arguments[0]]
-            submission = found[0] if found else None
+            matches = [s for (_, unique), s in self._by_unique.items() if unique == arguments[0]]
+            submission = matches[0] if matches else None
             waiting_count = len(submission.waiting_clients) if submission is not None else 0
             session.send(STATUS_RES_UNIQUE, arguments[0], *_status_fields(submission), b"%d" % waiting_count)
         elif kind == ECHO_REQ:
@@ -404,7 +405,7 @@
         reason = self._at_most_once_refusal(class_index, key) if unique else ""
         size = len(function) + len(unique) + len(workload)
         reason = reason or self.queues.refusal_reason(function, session.number, priority, size,
-                                                    self._unstarted[(function, priority)])
+                                                      self._unstarted[(function, priority)])
         if reason or self.stopping:
             raise PacketError(reason or "leaving", "refused; it did not run")
         if self.fence is not None and not self.fence.holds():
@@ -443,10 +444,10 @@
     def _enqueue(self, submission: Submission, client: int, size: int) -> bool:
         """Queue a job until a worker has room; False if the queues are full."""
         assert submission.job is not None
-        found = self.queues.put(submission, submission.job.class_index, submission.function, client,
-                                submission.priority, size, self.core.clock.now(),
-                                self._queue_deadline(submission.job, submission.background))
-        submission.queue_entry = found if isinstance(found, QueuedJob) else None
+        queued = self.queues.put(submission, submission.job.class_index, submission.function, client,
+                                 submission.priority, size, self.core.clock.now(),
+                                 self._queue_deadline(submission.job, submission.background))
+        submission.queue_entry = queued if isinstance(queued, QueuedJob) else None
         return submission.queue_entry is not None
 
     def _enqueue_due(self) -> None:
@@ -492,7 +493,7 @@
         self.core.offer(submission.job)
 
     def _mark_started(self, submission: Submission) -> None:
-        """Count a dequeued job as started, when it starts or ends without having started."""
+        """Mark a dequeued job as started; also if it ended without having started."""
         if not submission.running:
             submission.running = True
             self._unstarted[(submission.function, submission.priority)] -= 1
@@ -564,7 +565,7 @@
         self._on_answer(submission, Answer(FinalStatus.REFUSED), dispatched=False)
 
     def _release_unique(self, submission: Submission) -> None:
-        """Allow a job with a unique that never ran to be submitted again."""
+        """Allow the unique to be submitted as a new job; an at-most-once job must never have run."""
         assert submission.job is not None
         key = (submission.function, submission.unique)
         self._by_unique.pop(key, None)
@@ -623,11 +624,11 @@
                 class_mask |= 1 << class_index
         self._workers[session.name] = session
         await self._list_worker(session, WorkerState.READY if class_mask else WorkerState.DRAINING, class_mask)
-        kept = [q for q in session.queue if class_mask >> q[3].job.class_index & 1]
-        dropped = [q for q in session.queue if q not in kept]
-        session.queue = kept
-        heapify(session.queue)
-        for _, _, _, call in dropped:  # the worker no longer offers their functions: they never ran
+        kept_calls = [q for q in session.queued_calls if class_mask >> q[3].job.class_index & 1]
+        dropped_calls = [q for q in session.queued_calls if q not in kept_calls]
+        session.queued_calls = kept_calls
+        heapify(session.queued_calls)
+        for _, _, _, call in dropped_calls:  # the worker no longer offers their functions: they never ran
             await self.core.post(partial(self.core.call_ended, call, Outcome(Status.FULL)))
 
     async def _list_worker(self, session: Session, state: WorkerState, class_mask: int) -> None:
@@ -636,12 +637,12 @@
         session.listed_as = (state, class_mask)
         kinds = [c.kind for i, c in enumerate(self.core.settings.classes) if class_mask >> i & 1 and c.kind >= 0]
         entry = ListedDestination(session.name, session.name, state, kind=kinds[0] if kinds else 0,
-                       zone=self.core.settings.zone, class_mask=class_mask)
+                                  zone=self.core.settings.zone, class_mask=class_mask)
         await self.core.post(partial(self.core.update_destinations, SOURCE, ListKind.CHANGES, [entry]))
         await self.core.post(self._dispatch)
 
     def _wake_worker(self, session: Session) -> None:
-        if session.asleep and session.queue:
+        if session.asleep and session.queued_calls:
             session.asleep = False
             session.send(NOOP)
 
@@ -656,14 +657,15 @@
     async def _grab(self, session: Session, kind: int) -> None:
         session.asleep = False
         await self._end_calls_after_exception(session)
-        while session.queue and (reason := self.core.check_before_last_byte(session.queue[0][3])) is not None:
-            call = heappop(session.queue)[3]  # not permitted any more, or its client left: nothing was written
+        while (session.queued_calls
+               and (reason := self.core.check_before_last_byte(session.queued_calls[0][3])) is not None):
+            call = heappop(session.queued_calls)[3]  # no longer permitted or needed: nothing of it was written
             call.finished = True
             await self.core.post(partial(self.core.call_ended, call, Outcome(reason)))
-        if not session.queue:
+        if not session.queued_calls:
             session.send(NO_JOB)
             return
-        _, _, handle, call = heappop(session.queue)
+        _, _, handle, call = heappop(session.queued_calls)
         submission = call.job.front_context if isinstance(call.job.front_context, Submission) else None
         function = self._function_for(session, submission, call.job.class_index)
         limit = session.abilities.get(function, 0.0)
@@ -677,8 +679,8 @@
             head.append(submission.unique if submission is not None else b"")
         if kind == GRAB_JOB_ALL:
             head.append(submission.reducer if submission is not None else b"")
-        assign = {GRAB_JOB: JOB_ASSIGN, GRAB_JOB_UNIQ: JOB_ASSIGN_UNIQ, GRAB_JOB_ALL: JOB_ASSIGN_ALL}[kind]
-        session.send(assign, *head, call.job.body)
+        assign_kind = {GRAB_JOB: JOB_ASSIGN, GRAB_JOB_UNIQ: JOB_ASSIGN_UNIQ, GRAB_JOB_ALL: JOB_ASSIGN_ALL}[kind]
+        session.send(assign_kind, *head, call.job.body)
         await self.core.post(partial(self.core.call_started, call))
 
     def _function_for(self, session: Session, submission: Submission | None, class_index: int) -> bytes:
@@ -732,9 +734,9 @@
 
     def _report(self, session: Session) -> tuple[float, ...]:
         """A load report as an HTTP worker would send it; a Gearman worker runs one job at a time."""
-        held = len(session.queue) + len(session.assignments)
-        values = {"free_slots": float(max(0, 1 - held)), "queue": float(len(session.queue)),
-                  "inflight": float(held), "latency_ms": session.latency_ms}
+        jobs_held = len(session.queued_calls) + len(session.assignments)
+        values = {"free_slots": float(max(0, 1 - jobs_held)), "queue": float(len(session.queued_calls)),
+                  "inflight": float(jobs_held), "latency_ms": session.latency_ms}
         return tuple(values.get(f, 0.0) for f in self.core.settings.report_fields)
 
     # -- CallPort of the core --
@@ -744,12 +746,12 @@
         session = self._workers.get(call.destination.listed.name)
         if session is None or session.writer.transport.is_closing():
             return Outcome(Status.CONNECT_FAILED)
-        if len(session.queue) >= MAX_QUEUED_CALLS:
+        if len(session.queued_calls) >= MAX_QUEUED_CALLS:
             return Outcome(Status.FULL, report=self._report(session))
         submission = call.job.front_context if isinstance(call.job.front_context, Submission) else None
         self._last_serial += 1
         handle = submission.handle if submission is not None else self._handle_prefix + b"%d" % self._last_serial
-        heappush(session.queue,
+        heappush(session.queued_calls,
                  (submission.priority if submission is not None else 1, self._last_serial, handle, call))
         self._wake_worker(session)
         return None
@@ -759,10 +761,10 @@
         session = self._workers.get(call.destination.listed.name)
         if session is None or call.finished:
             return None  # its outcome is already posted
-        queued = [q for q in session.queue if q[3] is not call]
-        if len(queued) < len(session.queue):
-            session.queue = queued
-            heapify(session.queue)
+        queued = [q for q in session.queued_calls if q[3] is not call]
+        if len(queued) < len(session.queued_calls):
+            session.queued_calls = queued
+            heapify(session.queued_calls)
             call.finished = True
             return Outcome(Status.CANCELLED)
         for assignment in session.assignments.values():
@@ -770,7 +772,7 @@
                 call.finished = True
                 assignment.call = None
                 if not call.job.answered:
-  # An attempt elsewhere may follow: this one must not remain on an open connection.
+                    # The job may be attempted elsewhere: no attempt may then remain on an open connection.
                     session.writer.transport.abort()
                 return Outcome(Status.CANCELLED)
         return None
