--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -17,9 +17,9 @@
 from gaphub.net import http
 from gaphub.net.arrival import ArrivalLog
 
-from .fleet import Attempt, Conversation, Worker, play
+from .fleet import Attempt, Worker, WorkerConnection, play
 from .processes import Process
-from .scenario import SETTINGS, Cast
+from .scenario import SETTINGS, Harness
 from .test_shutdown_limits import Site, read_until_closed, request
 
 TOLERANCE_MS = 150.0
@@ -32,12 +32,12 @@
 
 def excess_ms(attempt: Attempt, sent_at: float, timeout_ms: float = TIMEOUT_MS) -> float:
     """By how much X-Timeout exceeded the time that the client had left when the last byte reached the worker."""
-    return attempt.told_ms - (timeout_ms - (attempt.whole - sent_at) * 1e3)
+    return attempt.x_timeout_ms - (timeout_ms - (attempt.completed_at - sent_at) * 1e3)
 
 
 async def attempts_of(site: Site, count: int) -> list[Attempt]:
     async with asyncio.timeout(5.0):
-        while len(site.worker.attempts) < count or not site.worker.attempts[-1].whole:
+        while len(site.worker.attempts) < count or not site.worker.attempts[-1].completed_at:
             await asyncio.sleep(0.005)
     return site.worker.attempts
 
@@ -130,14 +130,14 @@
 # The worker reads the body late: X-Timeout was right when the head was written and is too long by the last byte.
 def test_a_head_that_has_grown_old_before_the_last_byte_is_written_anew() -> None:
     async def run() -> None:
-        async with Cast(settings={"limits": {**SETTINGS["limits"], "mostTries": 1}}) as cast:
+        async with Harness(settings={"limits": {**SETTINGS["limits"], "mostTries": 1}}) as harness:
             slow_worker = SlowWorker()
-            cast.ports["w"] = slow_worker.listener.getsockname()[1]
-            await cast.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
-            _, writer = await asyncio.open_connection(*cast.config.listen)
+            harness.ports["w"] = slow_worker.listener.getsockname()[1]
+            await harness.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
+            _, writer = await asyncio.open_connection(*harness.config.listen)
             sent_at = time.monotonic()
             body = "x" * 65_000 + "z"
-            writer.write(cast.render("c", f"job poloha r1 {body} X-Timeout:3000m"))
+            writer.write(harness.render("c", f"job poloha r1 {body} X-Timeout:3000m"))
             timeout_ms, whole = await slow_worker.read_later(0.5)
             assert timeout_ms - (3000.0 - (whole - sent_at) * 1e3) <= TOLERANCE_MS
             writer.close()
@@ -170,12 +170,12 @@
     monkeypatch.setattr(http.Connection, "_write", stall_and_write)
     got: list[Attempt] = []
 
-    def behave(attempt: Attempt, conversation: Conversation) -> None:
+    def behave(attempt: Attempt, connection: WorkerConnection) -> None:
         got.append(attempt)
         if len(got) == ATTEMPTS[name]:
-            conversation.line(attempt, "done")
+            connection.send_result(attempt, "done")
         elif name == "a retry":
-            conversation.say("503 Service Unavailable", b"", "X-Not-Processed: 1")
+            connection.send_answer("503 Service Unavailable", b"", "X-Not-Processed: 1")
 
     # Second copies only in the case that tests them: a stalled process may send one, an attempt too many.
     settings = {"limits": {**SETTINGS["limits"], "secondCopies": name == "a second copy", "cancel": True},
@@ -185,14 +185,14 @@
         workers = [Worker(behave), Worker(behave)]
         for worker in workers:
             await worker.open()
-        async with Cast(settings=settings) as cast:
-            cast.ports |= {"w": workers[0].address[1], "x": workers[1].address[1]}
-            await cast.play("d expect index=41\nd send list 42 full w=active x=active\nd expect index=42")
+        async with Harness(settings=settings) as harness:
+            harness.ports |= {"w": workers[0].address[1], "x": workers[1].address[1]}
+            await harness.play("d expect index=41\nd send list 42 full w=active x=active\nd expect index=42")
             sent_at = time.monotonic()
-            await cast.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
+            await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert len(got) == len(written_at) == len(stalled) == ATTEMPTS[name]
             for attempt, whole in zip(got, written_at, strict=True):
-                attempt.whole = whole
+                attempt.completed_at = whole
                 assert excess_ms(attempt, sent_at, 2000.0) <= TOLERANCE_MS, attempt
         for worker in workers:
             worker.close()
@@ -224,21 +224,21 @@
     monkeypatch.setattr(http.Connection, "_write", stall_and_write)
     got: list[Attempt] = []
 
-    def behave(attempt: Attempt, conversation: Conversation) -> None:
+    def behave(attempt: Attempt, connection: WorkerConnection) -> None:
         got.append(attempt)
-        conversation.line(attempt, "done")
+        connection.send_result(attempt, "done")
 
     async def run() -> None:
         worker = Worker(behave)
         await worker.open()
-        async with Cast(settings={"report": {"fields": [], "via": "off"}}) as cast:
-            cast.ports["w"] = worker.address[1]
-            await cast.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
+        async with Harness(settings={"report": {"fields": [], "via": "off"}}) as harness:
+            harness.ports["w"] = worker.address[1]
+            await harness.play("d expect index=41\nd send list 42 full w=active\nd expect index=42")
             sent_at = time.monotonic()
-            await cast.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
+            await harness.play("c send job poloha r1 ab X-Timeout:2000m\nc expect 200 .*r")
             assert stalled == [first_s, STALL_S]
             (attempt,) = got
-            (attempt.whole,) = written_at
+            (attempt.completed_at,) = written_at
             assert excess_ms(attempt, sent_at, 2000.0) <= TOLERANCE_MS, attempt
         worker.close()
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "split", "handover"])
 def test_the_address_moves_and_nothing_runs_twice(fault: str) -> None:
-    outcome = asyncio.run(failover.run(fault, 1, rate=40.0, seed=5, frozen_s=(1.0,)))
+    outcome = asyncio.run(failover.run(fault, 1, rate=40.0, seed=5, freeze_durations_s=(1.0,)))
     assert outcome.rounds == 1
     assert outcome.unmoved == 0
     assert len(outcome.moved_ms) == 1
@@ -41,10 +41,10 @@
             site.kill(holder)
             await wait_until(lambda: site.front.next_hop not in ("", holder.ip))
             site.restart(holder)
-            await site.settled()
+            await site.wait_settled()
             witness.kill()  # the witness dies after the holder and restarts with its persisted vote
             witness.start()
-            await site.settled()
+            await site.wait_settled()
             assert site.holder() is not None
         finally:
             await site.close()
@@ -111,6 +111,6 @@
     report = asyncio.run(recovery.run(schedulers=4, share=0.75, workers=4, rate=60.0, warm_s=2.0, down_s=0.3,
                                       after_s=4.0, seed=3))
     assert report.killed == 3
-    assert report.twice == 0, "an attempt of a killed scheduler must not run again under the same id"
+    assert report.ran_twice == 0, "an attempt of a killed scheduler must not run again under the same id"
     assert report.served_at_end > 0.9, "the restarted schedulers must serve again"
     assert report.failed > 0, "attempts at the killed schedulers must have failed"
