--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -17,7 +17,7 @@
 from gaphub.gearman import tls
 from gaphub.gearman.codec import ECHO_REQ, REQUEST, pack
 
-from .scenario import Cast, play
+from .scenario import Harness, play
 
 FRONTS = """
 [gearman]
@@ -45,9 +45,9 @@
     return context
 
 
-async def echo(cast: Cast, context: ssl.SSLContext | None) -> bytes:
+async def echo(harness: Harness, context: ssl.SSLContext | None) -> bytes:
     """The answer to an echo request; empty if the session is closed instead."""
-    address = cast.config.fronts.gearman_address()
+    address = harness.config.fronts.gearman_address()
     assert address is not None
     try:
         async with asyncio.timeout(8.0):
@@ -70,16 +70,16 @@
     fronts = FRONTS.format(first) + f'tls_ca = "{first}/ca.pem"\ntls_minimum = "1.3"\n'
 
     async def run() -> None:
-        async with Cast(fronts=fronts) as cast:
+        async with Harness(fronts=fronts) as harness:
             mixed = client_context(first)
             mixed.load_cert_chain(second / "eve.pem", second / "eve.key")
-            assert b"hello" in await echo(cast, client_context(first, "ann"))
-            assert await echo(cast, client_context(first)) == b"", "without a certificate"
-            assert await echo(cast, mixed) == b"", "with a certificate of another CA"
-            assert await echo(cast, client_context(first, "ann", ssl.TLSVersion.TLSv1_2)) == b"", "with TLS 1.2"
-            assert b"hello" not in await echo(cast, None), "without TLS"
+            assert b"hello" in await echo(harness, client_context(first, "ann"))
+            assert await echo(harness, client_context(first)) == b"", "without a certificate"
+            assert await echo(harness, mixed) == b"", "with a certificate of another CA"
+            assert await echo(harness, client_context(first, "ann", ssl.TLSVersion.TLSv1_2)) == b"", "with TLS 1.2"
+            assert b"hello" not in await echo(harness, None), "without TLS"
             with pytest.raises(AssertionError):
-                await cast.play("count connections.gearman 2")  # only the first client got a session
+                await harness.play("count connections.gearman 2")  # only the first client got a session
 
     asyncio.run(run())
 
@@ -88,20 +88,20 @@
     first, second = make_certificates(tmp_path / "a"), make_certificates(tmp_path / "b")
 
     async def run() -> None:
-        async with Cast(fronts=FRONTS.format(first)) as cast:
-            address = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS.format(first)) as harness:
+            address = harness.config.fronts.gearman_address()
             assert address is not None
             reader, writer = await asyncio.open_connection(*address, ssl=client_context(first))
             (first / "server.key").write_text("nonsense")
-            cast.reload.requested.set()
-            await cast.play("count gearman.tls_not_reloaded 1")
-            assert b"hello" in await echo(cast, client_context(first)), "the old certificate stays in use"
+            harness.reload.requested.set()
+            await harness.play("count gearman.tls_not_reloaded 1")
+            assert b"hello" in await echo(harness, client_context(first)), "the old certificate stays in use"
             for name in ("server.pem", "server.key"):
                 (first / name).write_bytes((second / name).read_bytes())
-            cast.reload.requested.set()
-            await cast.play("count gearman.tls_reloaded 1")
-            assert b"hello" in await echo(cast, client_context(second))
-            assert await echo(cast, client_context(first)) == b""
+            harness.reload.requested.set()
+            await harness.play("count gearman.tls_reloaded 1")
+            assert b"hello" in await echo(harness, client_context(second))
+            assert await echo(harness, client_context(first)) == b""
             writer.write(ECHO)
             assert b"hello" in await reader.read(100), "a session opened before the reload goes on"
             writer.close()
@@ -133,8 +133,8 @@
 # ``gaphub lab gearman``.
 def test_sessions_send_small_packets_at_once(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Cast(fronts=FRONTS.format(make_certificates(tmp_path))) as cast:
-            address = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS.format(make_certificates(tmp_path))) as harness:
+            address = harness.config.fronts.gearman_address()
             assert address is not None
             _, writer = await asyncio.open_connection(*address, ssl=client_context(tmp_path))
             server_sockets: list[socket.socket] = []
@@ -169,8 +169,8 @@
 # Guards against closing a session as idle after a stall of this process during which the peer sent a packet.
 def test_a_session_whose_packet_lies_in_the_kernel_when_its_idle_time_ends_is_served() -> None:
     async def run() -> None:
-        async with Cast(fronts=IDLE_FRONT, known="") as cast:
-            address = cast.config.fronts.gearman_address()
+        async with Harness(fronts=IDLE_FRONT, known="") as harness:
+            address = harness.config.fronts.gearman_address()
             assert address is not None
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"version\n")
