--- a/gaphub/ops/__init__.py
+++ b/gaphub/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Daily operation: figures, workers out by hand, new settings, what one process leaves to the next."""
+"""Operations: job statistics, operator overrides, reloads, and the state kept across a process upgrade."""
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""A recording Actions and a small in-memory world to drive a Balancer in tests."""
+"""A recording Actions and an in-memory host that drives a Balancer in tests."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class Recorder:
-    """Actions that are written down."""
+    """Records the actions of a balancer."""
 
     def __init__(self) -> None:
         self.sends: list[tuple[int, int]] = []
         self.refused: list[int] = []
-        self.returns: list[float] = []
+        self.retry_afters: list[float] = []
         self.failed: list[int] = []
         self.cancelled: list[tuple[int, int]] = []
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
-        self.tells: list[tuple[int, bytes]] = []
-        self.lines: list[str] = []
+        self.peer_messages: list[tuple[int, bytes]] = []
+        self.log_lines: list[str] = []
         self.watches = 0
 
     def send(self, request: int, worker: int, timeout_ms: float) -> None:
@@ -32,7 +32,7 @@
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
         self.refused.append(request)
-        self.returns.append(retry_after_ms)
+        self.retry_afters.append(retry_after_ms)
 
     def fail(self, request: int) -> None:
         self.failed.append(request)
@@ -49,12 +49,12 @@
     def close_idle(self, worker: int) -> None:
         raise AssertionError("never used")
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         assert len(data) <= 256
-        self.tells.append((peer, data))
+        self.peer_messages.append((peer, data))
 
     def log(self, text: str) -> None:
-        self.lines.append(text)
+        self.log_lines.append(text)
 
     def watch(self, on: bool) -> None:
         self.watches += 1
@@ -70,7 +70,7 @@
 
 
 class World:
-    """One balancer, its clock and its recorder."""
+    """A balancer with its clock and its recorder."""
 
     def __init__(
         self,
@@ -81,22 +81,22 @@
         **settings: Any,
     ) -> None:
         self.now = 1000.0
-        self.did = Recorder()
-        self.b = Balancer(self.now, Settings(classes=classes, **settings), seed, self.did)
-        self.b.on_workers(self.now, ListKind.CACHED, entries or [entry(i) for i in range(1, workers + 1)])
+        self.actions = Recorder()
+        self.balancer = Balancer(self.now, Settings(classes=classes, **settings), seed, self.actions)
+        self.balancer.on_workers(self.now, ListKind.CACHED, entries or [entry(i) for i in range(1, workers + 1)])
         self.next_id = 0
 
     def request(self, cls: int = 0, **more: Any) -> int:
         self.next_id += 1
-        left = more.pop("left_ms", self.b.set.classes[cls].deadline_ms)
-        self.b.on_request(self.now, Request(self.next_id, cls, left, **more))
+        left = more.pop("left_ms", self.balancer.settings.classes[cls].deadline_ms)
+        self.balancer.on_request(self.now, Request(self.next_id, cls, left, **more))
         return self.next_id
 
     def worker_of(self, request: int, attempt: int = -1) -> int:
-        return [w for r, w in self.did.sends if r == request][attempt]
+        return [w for r, w in self.actions.sends if r == request][attempt]
 
     def attempts(self, request: int) -> int:
-        return sum(r == request for r, _ in self.did.sends)
+        return sum(r == request for r, _ in self.actions.sends)
 
     def outcome(
         self,
@@ -106,20 +106,20 @@
         latency: float = 100.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.b.on_outcome(self.now, request, attempt, status, latency, status == Status.OK, report)
+        self.balancer.on_outcome(self.now, request, attempt, status, latency, status == Status.OK, report)
 
     def serve(self, request: int, latency: float = 100.0, report: tuple[float, ...] = ()) -> int:
         self.outcome(request, 0, Status.OK, latency, report)
         return self.worker_of(request, 0)
 
     def serve_last(self, request: int) -> None:
-        """Serve the newest attempt."""
+        """Let the latest attempt succeed."""
         self.outcome(request, self.attempts(request) - 1, Status.OK)
 
     def wait(self, ms: float, step: float = 5.0) -> None:
-        """Let time pass; the pending alarm rings when due, as a host would ring it."""
+        """Advance the clock; the pending timer fires when due, as a host would fire it."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            if self.b.armed_at and self.b.armed_at <= self.now:
-                self.b.on_timer(self.now, 1)
+            if self.balancer.timer_due_at and self.balancer.timer_due_at <= self.now:
+                self.balancer.on_timer(self.now, 1)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -34,9 +34,9 @@
 from gaphub.lab.scale.processes import HollowProcess, RealScheduler
 from gaphub.lab.scale.sampling import Sample, measured
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan, read_scenario
-from gaphub.net.peers import BEAT
-from gaphub.occupancy.ledger import Ledger
+from gaphub.net.peers import HEARTBEAT_TYPE
 from gaphub.occupancy.messages import DELTA, MESSAGE_BYTES_MAX, SNAPSHOT, decode, wire_id
+from gaphub.occupancy.peer_counts import PeerCounts
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = ROOT / "deploy" / "scale" / "short.toml"
@@ -194,17 +194,17 @@
 @pytest.mark.parametrize("schedulers", [5, 12, 60])
 def test_what_hollow_schedulers_say_is_their_table(schedulers: int) -> None:
     fleet, said = _play(_plan(schedulers, 200.0, 3_000), 4.0)
-    ledger, now = Ledger(schedulers - 1), 4_000.0
+    ledger, now = PeerCounts(schedulers - 1), 4_000.0
     for i, one in enumerate(fleet.schedulers):  # the ends that still wait for company
         said += [(now, i, data) for data in one.say(now, DELTA)]
     beats = 0
     for at, i, data in said:
-        if data[0] == BEAT:
+        if data[0] == HEARTBEAT_TYPE:
             beats += 1
             continue
         assert decode(data) is not None
         assert len(data) <= MESSAGE_BYTES_MAX
-        assert ledger.take(at, i, data) is not None
+        assert ledger.receive(at, i, data) is not None
     assert beats >= len(fleet.schedulers) * 4.0 / (0.5 * fleet.pace) * 0.5
     assert len({wire_id(n) for n in fleet.numbers}) == len(fleet.numbers)  # else sums would have to be compared
     for i, one in enumerate(fleet.schedulers):
@@ -314,13 +314,14 @@
     from gaphub.core import Core
     from gaphub.interface import ListKind, WorkerState
     from gaphub.lab.site import SETTINGS
-    from gaphub.messages import Listed
+    from gaphub.messages import ListedDestination
     from gaphub.metrics import Counters
 
     core = Core(read_settings({**SETTINGS, "me": 0, "balancers": 1}), 1, Clock(), Counters())
-    core.listed("discovery", ListKind.FULL, [Listed(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
-    while not core._box.empty():
-        core._box.get_nowait()()
+    core.update_destinations("discovery", ListKind.FULL,
+                [ListedDestination(worker_name(i), "a:1", WorkerState.READY) for i in range(30)])
+    while not core._mailbox.empty():
+        core._mailbox.get_nowait()()
     assert set(core.balancer.fleet.workers) == {worker_number(i) for i in range(30)}
 
 
