--- a/tests/test_never_twice.py
+++ b/tests/test_never_twice.py
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.started = asyncio.Event()
         self.resubmitted = asyncio.Event()
-        self.handle = b""  # once its client has disconnected
+        self.handle = b""  # of the running job, once its client has disconnected
 
 
 class Simulation:
