--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,11 @@
-"""Owns the profiles of hypothesis for the test command, and fixtures that several files use.
+"""Hypothesis profiles for the test command, and fixtures that several test files use.
 
-It never changes what a test checks.
+It must not change what a test checks.
 
-Where ``CI`` is set the examples are derived from each test's name alone (``derandomize``), nothing is read from or
-written to the example database, and no example is timed, so that the same tree gives the same verdict on every
-run.  Elsewhere the draws are random and there are more of them, so that a developer's runs look further; a
-failure found so is kept in ``.hypothesis`` and should go in as an ``@example``.  ``HYPOTHESIS_PROFILE`` names
-another profile.
+Where ``CI`` is set, the examples are derived from a hash of each test function (``derandomize``), no example
+database is read or written, and no example is timed: the same tree gives the same verdict on every run.  Elsewhere
+the examples are random and more numerous, so that developers' runs find more; a failure found in this way is kept
+in ``.hypothesis`` and should be added as an ``@example``.  ``HYPOTHESIS_PROFILE`` names another profile.
 """
 
 from __future__ import annotations
@@ -30,21 +29,21 @@
 
 @pytest.fixture
 def cores(monkeypatch: pytest.MonkeyPatch) -> list[Core]:
-    """The cores of the schedulers that a test starts."""
+    """The cores of all schedulers that the test starts in this process."""
     found: list[Core] = []
-    make = Core.__init__
+    original_init = Core.__init__
 
-    def noted(self: Core, *args: Any, **more: Any) -> None:
-        make(self, *args, **more)
+    def recording_init(self: Core, *args: Any, **more: Any) -> None:
+        original_init(self, *args, **more)
         found.append(self)
 
-    monkeypatch.setattr(Core, "__init__", noted)
+    monkeypatch.setattr(Core, "__init__", recording_init)
     return found
 
 
 @pytest.fixture
 def own_descriptors() -> Iterator[None]:
-    """As many descriptors as may be, for tests whose process holds the ends of a crowd or of many workers."""
+    """Raise the limit on open files to its maximum: the test process holds the ends of many connections."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     yield
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -1,7 +1,7 @@
-"""A crowd of clients that never finish a request, in a process of its own, so that it slows no other client.
+"""A crowd of clients that never complete a request, in a separate process, so that it slows no other client.
 
-``python -m tests.crowd PORT COUNT SECONDS`` keeps up to COUNT connections open for so long, and comes again
-``AGAIN_S`` after each is closed.
+``python -m tests.crowd PORT COUNT SECONDS`` keeps up to COUNT connections open for that time; a client reconnects
+``RECONNECT_DELAY_S`` after its connection was closed.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 import click
 
-AGAIN_S = 0.05  # after its connection was closed a client comes again
+RECONNECT_DELAY_S = 0.05  # after the close of its connection a client connects again
 PARTIAL_HEAD = b"POST /api HTTP/1.1\r\nHost: a\r\n"
-FIRST_WORDS = [b"", PARTIAL_HEAD]
+FIRST_BYTES = [b"", PARTIAL_HEAD]
 
 
-async def _client(port: int, words: bytes) -> None:
+async def _client(port: int, first_bytes: bytes) -> None:
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
-                writer.write(words)
+                writer.write(first_bytes)
                 while await reader.read(4096):
                     pass
             finally:
                 writer.transport.abort()
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RECONNECT_DELAY_S)
 
 
-async def _stay(port: int, count: int, seconds: float) -> None:
-    clients = [asyncio.create_task(_client(port, FIRST_WORDS[i % len(FIRST_WORDS)])) for i in range(count)]
+async def _hold_connections(port: int, count: int, seconds: float) -> None:
+    clients = [asyncio.create_task(_client(port, FIRST_BYTES[i % len(FIRST_BYTES)])) for i in range(count)]
     await asyncio.sleep(seconds)
     for client in clients:
         client.cancel()
@@ -43,7 +43,7 @@
 
 @contextmanager
 def crowd(port: int, count: int, seconds: float) -> Iterator[subprocess.Popen[bytes]]:
-    """Have a crowd there, which ends by itself after so long at the latest."""
+    """Run a crowd against a port; it ends by itself after ``seconds`` at the latest."""
     process = subprocess.Popen([sys.executable, "-m", "tests.crowd", str(port), str(count), str(seconds)])
     try:
         yield process
@@ -57,10 +57,10 @@
 @click.argument("count", type=int)
 @click.argument("seconds", type=float)
 def main(port: int, count: int, seconds: float) -> None:
-    """Stay as a crowd."""
+    """Hold COUNT connections to PORT for SECONDS."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    asyncio.run(_stay(port, count, seconds))
+    asyncio.run(_hold_connections(port, count, seconds))
 
 
 if __name__ == "__main__":
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,8 +1,8 @@
-"""Several gaphub processes on loopback, with discovery, peers and workers that stamp what reaches them.
+"""Several gaphub processes on loopback, with a discovery agent and workers that time-stamp what reaches them.
 
-Stamps are of the monotonic clock.  ``StampedLoop`` notes when its selector last came back: bytes that the next
-look finds have come after that, however late their callback runs.  So a slow test process makes an attempt look
-earlier, never later, than it was.
+Stamps are on the monotonic clock.  ``StampedLoop`` records when its selector last returned: bytes found by the
+next poll have arrived after that, however late their callback runs.  So a slow test process makes an attempt look
+earlier than it was, never later.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 READY_S = 15.0
 HTTP_PORT, PEER_PORT, GEARMAN_PORT = 7000, 7946, 4730
-DEAF = 1  # the first of the UDP ports that stand for schedulers that are not heard
+UNHEARD_PORT = 1  # first UDP port that stands for schedulers whose messages are not received
 
 
 class StampedSelector(selectors.EpollSelector):
-    """Notes when it came back, the last three times."""
+    """A selector that records when it returned, the last three times."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,23 +54,23 @@
 
     @property
     def earliest(self) -> float:
-        """When what the last look found may have come at the earliest."""
+        """The earliest time at which what the last poll found can have arrived."""
         return self.stamps.at[1]
 
     @property
     def earliest_accepted(self) -> float:
-        """The same of a connection whose protocol is being made: it was accepted a turn ago."""
+        """The same for a connection that is being set up: it was accepted one loop iteration ago."""
         return self.stamps.at[0]
 
 
-def play(work: Coroutine[Any, Any, None], within_s: float) -> None:
-    """Run a test's coroutine on a stamped loop, bounded in time."""
+def play(coroutine: Coroutine[Any, Any, None], within_s: float) -> None:
+    """Run a test's coroutine on a stamped loop, with a time limit."""
     with asyncio.Runner(loop_factory=StampedLoop) as runner:
-        runner.run(asyncio.wait_for(work, within_s))
+        runner.run(asyncio.wait_for(coroutine, within_s))
 
 
 def stamped_loop() -> StampedLoop:
-    """The running loop."""
+    """The running loop, which must be a ``StampedLoop``."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, StampedLoop)
     return loop
@@ -81,9 +81,9 @@
 
 @dataclass
 class Attempt:
-    """One attempt as it reached a worker; ``completed_at``: when its last byte was here, 0: never.
+    """One attempt as it reached a worker; ``completed_at``: when its last byte had arrived, 0: never.
 
-    ``x_timeout_ms``: what its ``X-Timeout`` says, in ms.
+    ``x_timeout_ms``: the value of its ``X-Timeout``.
     """
 
     ident: str
@@ -93,20 +93,20 @@
     x_timeout_ms: float = 0.0
 
 
-Behave = Callable[["Attempt", "WorkerConnection"], None]
+Behavior = Callable[["Attempt", "WorkerConnection"], None]
 
 
 class WorkerConnection(asyncio.Protocol):
-    """One connection to a worker."""
+    """The worker's end of one connection."""
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
         self.transport: asyncio.Transport | None = None
         self.data = b""
-        # What a new connection brings may have come before it was accepted, though it is read some turns later.
+        # Data on a new connection may have come before the accept, though it is read some iterations later.
         self.first = self.accepted = stamped_loop().earliest_accepted
         self.heard = False
-        self.open: Attempt | None = None
+        self.open_attempt: Attempt | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -122,31 +122,32 @@
             self.first = came
         self.heard = True
         self.data += data
-        if self.open is None and b"\r\nX-Request-ID: " in self.data and b"\r\n\r\n" in self.data:
+        if self.open_attempt is None and b"\r\nX-Request-ID: " in self.data and b"\r\n\r\n" in self.data:
             head = self.data.partition(b"\r\n\r\n")[0].decode("latin-1")
-            self.open = Attempt(_header(head, "X-Request-ID"), _header(head, "X-Priority-Class"), self.first,
-                                x_timeout_ms=float(_header(head, "X-Timeout").rstrip("m") or 0.0))
-            self.worker.attempts.append(self.open)
-        if self.open is not None:
+            self.open_attempt = Attempt(
+                _header(head, "X-Request-ID"), _header(head, "X-Priority-Class"), self.first,
+                x_timeout_ms=float(_header(head, "X-Timeout").rstrip("m") or 0.0))
+            self.worker.attempts.append(self.open_attempt)
+        if self.open_attempt is not None:
             lines, _, body = self.data.partition(b"\r\n\r\n")
             if len(body) >= int(_header(lines.decode("latin-1"), "Content-Length")):
-                attempt, self.open, self.data = self.open, None, b""
+                attempt, self.open_attempt, self.data = self.open_attempt, None, b""
                 attempt.completed_at = came
                 self.worker.behave(attempt, self)
 
     def send_answer(self, status: str, body: bytes = b"", *headers: str) -> None:
-        """A whole answer."""
+        """Send a complete answer."""
         if self.transport is not None and not self.transport.is_closing():
             lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
             self.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
 
     def send_result(self, attempt: Attempt, state: str) -> None:
-        """An answer of one line."""
+        """Send an answer with a single result line."""
         self.send_answer(
             "200 OK", json.dumps({"id": attempt.ident, "state": state, "result": "r"}).encode() + b"\n")
 
     def reset(self) -> None:
-        """RST."""
+        """Close the connection with a reset."""
         if self.transport is not None:
             linger_zero(self.transport.get_extra_info("socket"))
             self.transport.abort()
@@ -157,52 +158,52 @@
 
 
 def linger_zero(sock: socket.socket) -> None:
-    """Have its close reset the connection."""
+    """Make the close of the socket reset the connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
 
 
 class Worker:
-    """A stand-in worker: ``behave`` is called with each attempt when it is whole."""
+    """A stand-in worker: ``behave`` is called with each attempt that is complete."""
 
-    def __init__(self, behave: Behave) -> None:
+    def __init__(self, behave: Behavior) -> None:
         self.behave = behave
         self.attempts: list[Attempt] = []
         self.address: Address = ("", 0)
         self.connections: set[WorkerConnection] = set()
         self._server: asyncio.Server | None = None
         self._listener: socket.socket | None = None
-        self._plugs: list[socket.socket] = []
+        self._fillers: list[socket.socket] = []
 
     async def open(self) -> None:
-        """Listen and accept."""
+        """Listen and accept connections."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: WorkerConnection(self), "127.0.0.1", 0, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def open_plugged(self) -> None:
-        """Listen, but with a backlog that is full: connections come up only after ``unplug``."""
+        """Listen with a full backlog: connections are established only after ``unplug``."""
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
         self.address = self._listener.getsockname()
         for _ in range(4):
-            plug = socket.socket()
-            plug.setblocking(False)
-            plug.connect_ex(self.address)
-            self._plugs.append(plug)
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self.address)
+            self._fillers.append(filler)
         await asyncio.sleep(0.05)
 
     async def unplug(self) -> None:
-        """Accept from now on: who asked in vain is let in when the kernel asks again (after 1 s, then 2 s)."""
+        """Accept from now on: waiting clients connect when their SYN is retransmitted (after 1 s, then 2 s)."""
         assert self._listener is not None
-        for plug in self._plugs:
-            plug.close()
+        for filler in self._fillers:
+            filler.close()
         self._listener.listen(1024)
         self._server = await asyncio.get_running_loop().create_server(
             lambda: WorkerConnection(self), sock=self._listener, backlog=1024)
 
     def stop(self) -> None:
-        """End as a killed process does: no listener, its connections reset."""
+        """Stop as a killed process does: close the listener and reset the connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -210,10 +211,10 @@
             connection.reset()
 
     def close(self) -> None:
-        """Give everything back."""
+        """Stop, and close all sockets."""
         self.stop()
-        for plug in self._plugs:
-            plug.close()
+        for filler in self._fillers:
+            filler.close()
         if self._listener is not None:
             self._listener.close()
 
@@ -222,7 +223,7 @@
 
 
 class Discovery:
-    """Discovery's agent: whole lists of settable entries; a watch is answered at once when they change."""
+    """Discovery agent that answers with full lists; watches are answered as soon as the entries change."""
 
     def __init__(self) -> None:
         self.entries: list[dict[str, Any]] = []
@@ -242,7 +243,7 @@
             self._server.close()
 
     def tell(self, entries: list[dict[str, Any]]) -> None:
-        """Another list from now on."""
+        """Change the list of workers."""
         self.entries = entries
         self.version += 1
         self._changed.set()
@@ -270,7 +271,7 @@
 
 
 def entry(name: str, worker: Worker, started_ms: float = 0.0, zone: str = "a") -> dict[str, Any]:
-    """One line of the list."""
+    """An entry of the worker list."""
     return {"id": name, "addr": "{}:{}".format(*worker.address), "zone": zone, "kind": "m", "cell": 0,
             "state": "active", "weight": 1.0, "started_ms": started_ms}
 
@@ -279,7 +280,7 @@
 
 
 async def ask(address: Address, target: str) -> Any:
-    """What a scheduler answers a GET; None if it does not answer 200."""
+    """The scheduler's answer to a GET; None if it is not a 200."""
     try:
         async with asyncio.timeout(2.0):
             reader, writer = await asyncio.open_connection(*address)
@@ -295,22 +296,22 @@
 
 
 async def until_ready(numbers: Iterable[int], folder: Path, within_s: float,
-                      asked: Callable[[int, str], Coroutine[Any, Any, Any]]) -> None:
-    """Wait until schedulers are ready; ``asked``: what one answers a GET, None while it does not answer 200."""
-    ends = time.monotonic() + within_s
+                      ask_scheduler: Callable[[int, str], Coroutine[Any, Any, Any]]) -> None:
+    """Wait until schedulers are ready; ``ask_scheduler``: the answer of one to a GET, None if it is not a 200."""
+    deadline = time.monotonic() + within_s
     for n in numbers:
-        while await asked(n, "/-/ready") is None:
-            if time.monotonic() > ends:
+        while await ask_scheduler(n, "/-/ready") is None:
+            if time.monotonic() > deadline:
                 raise TimeoutError((folder / f"n{n}" / "log").read_text()[-2000:])
             await asyncio.sleep(0.02)
 
 
 @dataclass
 class Fleet:
-    """Schedulers of one site; ``changes`` are settings other than the lab's, by section.
+    """Schedulers of one site; ``changes`` are settings that differ from the lab's, by section.
 
-    ``hears``: whether one scheduler hears another; those that it does not have a
-    port of their own, which nobody sends from.
+    ``hears``: whether one scheduler receives another's messages.  For each that it does not, its peer address is a
+    port from which nothing is sent.
     """
 
     count: int
@@ -318,46 +319,46 @@
     changes: Mapping[str, Any]
     hears: Callable[[int, int], bool] = lambda a, b: True
     seed: int = 1
-    gearman: bool = False  # the Gearman front too, with the function ``work``
+    gearman: bool = False  # also run the Gearman front, with the function ``work``
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="gaphub-fleet-")))
     processes: list[subprocess.Popen[bytes] | None] = field(default_factory=list)
     addresses: list[Address] = field(default_factory=list)
     gearman_addresses: list[Address] = field(default_factory=list)
 
     async def open(self) -> None:
-        """Start all, and wait until all are ready."""
-        # Each has a loopback address of its own: no connection of anybody else can be given one of its ports.
+        """Start all schedulers and wait until they are ready."""
+        # Each has its own loopback address, so no other connection can be given one of its ports.
         net = f"127.{random.SystemRandom().randint(10, 250)}.{os.getpid() % 250 + 1}"
         hosts = [f"{net}.{n + 1}" for n in range(self.count)]
         self.addresses = [(host, HTTP_PORT) for host in hosts]
         self.gearman_addresses = [(host, GEARMAN_PORT) for host in hosts]
         for n in range(self.count):
-            reached = [f"{host}:{PEER_PORT}" if self.hears(n, m) else f"127.0.0.1:{DEAF + m}"
-                       for m, host in enumerate(hosts)]
+            peer_addresses = [f"{host}:{PEER_PORT}" if self.hears(n, peer) else f"127.0.0.1:{UNHEARD_PORT + peer}"
+                              for peer, host in enumerate(hosts)]
             settings = {**SETTINGS, "me": n, "balancers": self.count}
             for section, values in self.changes.items():
                 settings[section] = {**settings[section], **values} if isinstance(values, dict) else values
-            home = self.folder / f"n{n}"
-            home.mkdir()
+            directory = self.folder / f"n{n}"
+            directory.mkdir()
             listen = "{}:{}".format(*self.gearman_addresses[n]) if self.gearman else ""
-            (home / "fronts.toml").write_text(
+            (directory / "fronts.toml").write_text(
                 f'[gearman]\nlisten = "{listen}"\n[gearman.functions]\nwork = "poloha"\n')
-            (home / "config.json").write_text(json.dumps({
+            (directory / "config.json").write_text(json.dumps({
                 "name": f"n{n}", "listen": "{}:{}".format(*self.addresses[n]), "seed": f"{self.seed * 1000 + n:x}",
-                "peer_listen": f"{hosts[n]}:{PEER_PORT}", "peers": reached, "limits": {"sockets": 4096},
+                "peer_listen": f"{hosts[n]}:{PEER_PORT}", "peers": peer_addresses, "limits": {"sockets": 4096},
                 "discovery": "{}:{}".format(*self.discovery.address),
                 "known": {"version": 0, "full": True, "servers": self.discovery.entries}, "settings": settings}))
             self.processes.append(None)
         await self.start(range(self.count))
 
     async def start(self, numbers: Sequence[int]) -> None:
-        """Start some, and wait until they are ready."""
+        """Start some schedulers and wait until they are ready."""
         for n in numbers:
             self.processes[n] = start_gaphub(self.folder / f"n{n}", f"n{n}", [])
         await until_ready(numbers, self.folder, READY_S, self.ask)
 
     def kill(self, numbers: Sequence[int]) -> None:
-        """SIGKILL some, and wait for their end."""
+        """Kill some schedulers with SIGKILL and wait until they have ended."""
         for n in numbers:
             process = self.processes[n]
             if process is not None:
@@ -366,11 +367,11 @@
                 self.processes[n] = None
 
     async def ask(self, number: int, target: str) -> Any:
-        """What one answers a GET; None if it does not answer 200."""
+        """The answer of one scheduler to a GET; None if it is not a 200."""
         return await ask(self.addresses[number], target)
 
     def close(self) -> None:
-        """End all."""
+        """Kill all schedulers and delete the folder."""
         self.kill(range(len(self.processes)))
         shutil.rmtree(self.folder, ignore_errors=True)
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,6 +1,6 @@
-"""Real processes of the scheduler for tests, and the calls that clients and operators make to them.
+"""Scheduler processes for tests, and the calls that clients and operators make to them.
 
-Every process is ended by its own handle: by ``end``, or by leaving ``running``.
+Every process is ended through its own handle: by ``end``, or by leaving ``running``.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 
 
 class HasAddress(Protocol):
-    """A stand-in for discovery's agent."""
+    """A stand-in for the discovery agent."""
 
     address: Address
 
 
 class Process:
-    """One process of a scheduler, as the platform starts it."""
+    """One scheduler process, started as in production."""
 
-    def __init__(self, folder: Path, listen: int, agent: HasAddress, stem: str, descriptors: int = 0,
+    def __init__(self, folder: Path, listen: int, agent: HasAddress, file_stem: str, descriptors: int = 0,
                  fronts: str = "", **more: Any) -> None:
-        """``descriptors``: the limit on open files that it runs under; 0: that of this process.
+        """``descriptors``: limit on open files of the process, 0: that of this one.
 
-        ``fronts``: the text of its fronts file; empty: that of the deployment.
+        ``fronts``: contents of its fronts file; empty: the file of the deployment.
         """
         self.listen = listen
         self.admin = free_port()
-        self.log = folder / f"{stem}.log"
-        self.file = folder / f"{stem}.json"
+        self.log = folder / f"{file_stem}.log"
+        self.file = folder / f"{file_stem}.json"
         self.folder = folder
         self.descriptors = descriptors
         self.fronts = fronts
         self.settings = {
             "name": "n0", "listen": f"127.0.0.1:{listen}", "seed": "1", "admin": f"127.0.0.1:{self.admin}",
             "discovery": "{}:{}".format(*agent.address), "settings": SETTINGS, **more}
-        self.began = 0.0
+        self.started_at = 0.0
         self.start()
 
     def start(self) -> None:
-        """Start, the first time or again, with the files that it has."""
+        """Start or restart the process with its files."""
         self.file.write_text(json.dumps(self.settings))
         env = {**os.environ, "LB_CONFIG": str(self.file), "TMPDIR": str(self.folder)}
         for key in ("LB_FRONTS", "LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_ADMIN"):
@@ -64,43 +64,43 @@
         if self.fronts:
             (fronts := self.file.with_suffix(".toml")).write_text(self.fronts)
             env["LB_FRONTS"] = str(fronts)
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen([sys.executable, "-m", "gaphub"], env=env, stderr=log)
         if self.descriptors:
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
     def reload(self, **more: Any) -> None:
-        """SIGHUP, with these keys of its file changed."""
+        """Change these keys of the configuration file and send SIGHUP."""
         self.settings |= more
         self.file.write_text(json.dumps(self.settings))
         self.process.send_signal(signal.SIGHUP)
 
-    def end(self, how: signal.Signals = signal.SIGKILL, within_s: float = 10.0) -> None:
-        """Send a signal and wait for the end."""
-        self.process.send_signal(how)
+    def end(self, signal_number: signal.Signals = signal.SIGKILL, within_s: float = 10.0) -> None:
+        """Send a signal and wait until the process has ended."""
+        self.process.send_signal(signal_number)
         self.process.wait(within_s)
 
     def open_descriptors(self) -> int:
-        """How many it holds now."""
+        """Number of descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def cpu_s(self) -> float:
-        """The processor time that it has used."""
+        """CPU time that the process has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
 
-    async def call(self, what: str, body: str = "") -> int:
+    async def call(self, target: str, body: str = "") -> int:
         try:
-            answer = await self.ask(what, body)
+            answer = await self.ask(target, body)
         except OSError:
             return 0
         return int(answer.split()[1])
 
-    async def ask(self, what: str, body: str = "") -> bytes:
+    async def ask(self, target: str, body: str = "") -> bytes:
         async with asyncio.timeout(2.0):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
-            writer.write(f"{what} HTTP/1.1\r\nHost: o\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+            writer.write(f"{target} HTTP/1.1\r\nHost: o\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
             answer = await reader.read()
             writer.close()
         return answer
@@ -109,18 +109,18 @@
         return json.loads((await self.ask("GET /ops/stats")).partition(b"\r\n\r\n")[2])
 
     async def ready(self) -> None:
-        """Until the operators' address says so."""
+        """Wait until the operators' address reports readiness."""
         async with asyncio.timeout(READY_S):
             while await self.call(READINESS) != 200:
                 await asyncio.sleep(0.05)
 
     async def seconds_to_ready(self) -> float:
-        """Wait until the platform's address and, where there is one, the operators' say so; s from the start.
+        """Wait until the platform's and any operators' address report readiness; the time since the start in s.
 
-        Infinite where the process ended or ``READY_S`` passed.
+        Infinite if the process ended or ``READY_S`` passed.
         """
         try:
-            async with asyncio.timeout(self.began + READY_S - time.monotonic()):
+            async with asyncio.timeout(self.started_at + READY_S - time.monotonic()):
                 while await front_ready(self.listen) != 200:
                     if self.process.poll() is not None:
                         return float("inf")
@@ -129,12 +129,12 @@
                     await asyncio.sleep(0.05)
         except TimeoutError:
             return float("inf")
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
 
 @contextmanager
 def running(processes: list[Process]) -> Iterator[list[Process]]:
-    """Kill all that the list holds in the end."""
+    """Kill all processes in the list on leaving, also those added meanwhile."""
     try:
         yield processes
     finally:
@@ -145,7 +145,7 @@
 
 
 async def _status(listen: int, request: str, host: str = "127.0.0.1") -> int:
-    """The status of one request on a connection of its own, 0 where it was refused or reset."""
+    """The status of a request on a new connection; 0 if the connection was refused or reset."""
     writer: asyncio.StreamWriter | None = None
     try:
         reader, writer = await asyncio.open_connection(host, listen)
@@ -160,19 +160,19 @@
 
 
 async def front_ready(listen: int) -> int:
-    """What the platform's front is told."""
+    """The status that the platform's front gets from the readiness check."""
     return await _status(listen, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
 
 
-def job_request(ident: str, cls: str = "vyuctovani") -> str:
-    """One whole job."""
-    return (f"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: {ident}\r\nX-Priority-Class: {cls}\r\n"
+def job_request(request_id: str, class_name: str = "vyuctovani") -> str:
+    """A complete job request."""
+    return (f"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-ID: {request_id}\r\nX-Priority-Class: {class_name}\r\n"
             "X-Timeout: 5000m\r\nContent-Length: 0\r\n\r\n")
 
 
-async def job(listen: int, ident: str, cls: str = "vyuctovani", host: str = "127.0.0.1") -> int:
-    """One job on a connection of its own: the status, 0 where the connection was refused or reset."""
-    return await _status(listen, job_request(ident, cls), host)
+async def job(listen: int, request_id: str, class_name: str = "vyuctovani", host: str = "127.0.0.1") -> int:
+    """Send a job on a new connection; its status, or 0 if the connection was refused or reset."""
+    return await _status(listen, job_request(request_id, class_name), host)
 
 
 async def counters(listen: int) -> str:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -42,7 +42,7 @@
             await a.play("a send create function gate poloha\\n\na expect OK")
             for _ in range(200):
                 await b.play("a send status\\n\na expect (?P<all>.*?)(?:^|\\n)\\.\\n")
-                if "gate" in b.kept["all"]:
+                if "gate" in b.groups["all"]:
                     break
                 await asyncio.sleep(0.02)
             await b.play("g send 7 gate||load\ng expect #8\nw expect POST .*poloha.*load")
