--- a/gaphub/lab/fleet.py
+++ b/gaphub/lab/fleet.py
@@ -1,6 +1,7 @@
 """Sums of a fleet's counters: what all schedulers together counted in each second.
 
 It reads the lines that ``log.counters_s`` makes a scheduler write in the plain form, and ignores all others.
+It is read-only: it must not start anything or write to a log.
 """
 
 from __future__ import annotations
--- a/gaphub/lab/requests.py
+++ b/gaphub/lab/requests.py
@@ -1,7 +1,7 @@
 """Reads the request lines in the logs of a fleet, in the order in which the requests were finished.
 
 It reads the lines that ``log.requests`` makes a scheduler write in the plain form, and ignores all others.  At
-most one line of each log is held in memory.
+most one line of each log is held in memory.  It is read-only: it must not start anything or write to a log.
 """
 
 from __future__ import annotations
