--- a/tests/test_never_twice.py
+++ b/tests/test_never_twice.py
@@ -6,10 +6,10 @@
 
 Some jobs are held, as what a resubmission meets depends on timing.  A job that was only queued is dropped when
 its client leaves, so its resubmission is a new job; one that a worker has goes on and is joined.  The simulated
-workers answer within one iteration of the event loop and a new connection takes several, so the job has usually
-ended by then: in a traced run, 2,766 of 2,826 clients that left had their job queued and 60 had it at a worker
-(``gearman.left_running``); of those 60 resubmissions, 59 found the recorded result and one joined the job.  In
-other runs none did, and the test failed because ``gearman.joined`` was 0 before it had checked the executions.
+workers answer within one iteration of the event loop and a new connection takes several, so a running job has
+usually ended by then: in a traced run, 2,766 of 2,826 clients that left had their job queued and 60 had it at a
+worker (``gearman.left_running``); of those 60 resubmissions, 59 found the recorded result and one joined the job.
+In other runs none did, and the test failed because ``gearman.joined`` was 0 before it had checked the executions.
 So workers hold some at-most-once jobs until their client has left and submitted them again: these resubmissions
 are certain to find their job running, and must join it.
 """
@@ -24,7 +24,7 @@
 
 from gaphub.gearman import codec as g
 
-from .scenario import Cast
+from .scenario import Harness
 
 JOBS = 100_000
 HTTP_CLIENTS, GEARMAN_CLIENTS, HTTP_WORKERS, GEARMAN_WORKERS = 24, 24, 4, 12
@@ -49,14 +49,14 @@
     def __init__(self) -> None:
         self.started = asyncio.Event()
         self.resubmitted = asyncio.Event()
-        self.handle = b""  # once its client has disconnected
+        self.handle = b""  # of the running job, once its client has disconnected
 
 
 class Simulation:
     """The state shared by all simulated clients and workers."""
 
-    def __init__(self, cast: Cast) -> None:
-        self.cast = cast
+    def __init__(self, harness: Harness) -> None:
+        self.harness = harness
         self.rng = random.Random(20_261)
         self.executions: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
@@ -151,13 +151,14 @@
 
 async def http_client(simulation: Simulation) -> None:
     """Submits jobs over HTTP, each once, as its X-Request-ID is new in each attempt."""
-    reader, writer = await asyncio.open_connection(*simulation.cast.config.listen)
+    reader, writer = await asyncio.open_connection(*simulation.harness.config.listen)
     while job := simulation.job():
         name, at_most_once = job
         class_name = "vyuctovani" if at_most_once else "poloha"
         simulation.submitted += 1
         for attempt in range(1000):  # after a refusal, another attempt is safe
-            writer.write(simulation.cast.render("c", f"job {class_name} {name}.{attempt} {name} X-Timeout:20000m"))
+            writer.write(simulation.harness.render(
+                "c", f"job {class_name} {name}.{attempt} {name} X-Timeout:20000m"))
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             body = await reader.readexactly(int(head.lower().split("content-length:")[1].split()[0]))
             if head.split()[1] != "503":
@@ -247,9 +248,9 @@
 
 def test_no_never_twice_job_runs_twice_in_100_000_with_drops_and_resubmissions() -> None:
     async def run() -> Simulation:
-        async with Cast(fronts=FRONTS, known="") as cast:
-            simulation = Simulation(cast)
-            address = cast.config.fronts.gearman_address()
+        async with Harness(fronts=FRONTS, known="") as harness:
+            simulation = Simulation(harness)
+            address = harness.config.fronts.gearman_address()
             servers = []
             connections: set[asyncio.Task[None]] = set()
 
@@ -262,9 +263,9 @@
             for i in range(HTTP_WORKERS):
                 server = await asyncio.start_server(accepted, "127.0.0.1", 0)
                 servers.append(server)
-                cast.ports[f"h{i}"] = server.sockets[0].getsockname()[1]
+                harness.ports[f"h{i}"] = server.sockets[0].getsockname()[1]
             names = " ".join(f"h{i}=active" for i in range(HTTP_WORKERS))
-            await cast.play(f"d expect index=41\nd send list 42 changes {names}\nd expect index=42")
+            await harness.play(f"d expect index=41\nd send list 42 changes {names}\nd expect index=42")
             workers = [asyncio.create_task(gearman_worker(simulation, address)) for _ in range(GEARMAN_WORKERS)]
             await asyncio.gather(*(http_client(simulation) for _ in range(HTTP_CLIENTS)),
                                  *(gearman_client(simulation, address) for _ in range(GEARMAN_CLIENTS)))
@@ -276,7 +277,7 @@
             return simulation
 
     simulation = asyncio.run(run())
-    counters = simulation.cast.counters.values
+    counters = simulation.harness.counters.values
     assert simulation.submitted == JOBS == sum(simulation.answers.values())
     # The faults that the test is about did occur, over both protocols.
     assert (simulation.disconnections > JOBS * DISCONNECT_SHARE / 4
