--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -71,7 +71,7 @@
         self.requested = asyncio.Event()
         self.also_reload: list[Callable[[], None]] = []  # run before each reload, e.g. for key files
 
-    async def run(self, destinations: DiscoveryClient, core: Core) -> None:
+    async def run(self, discovery_client: DiscoveryClient, core: Core) -> None:
         """Reload whenever requested; requests that arrive before the reload starts are served by one reload."""
         while True:
             await self.requested.wait()
@@ -94,7 +94,7 @@
             if pending:
                 self._counters.log("reloads.need_a_start", ", ".join(pending))
             self.config = new
-            destinations.set_agent(new.discovery)
+            discovery_client.set_agent(new.discovery)
 
 
 def block_sighup() -> None:
@@ -113,7 +113,7 @@
 
 
 def create_ops(listen: Address, config: Config, core: Core, counters: Counters, shared_files: SharedFiles,
-               inbound: Inbound, destinations: DiscoveryClient) -> OpsServer:
+               inbound: Inbound, discovery_client: DiscoveryClient) -> OpsServer:
     """The operations endpoint, with the functions that answer its requests."""
 
     def set_disabled(worker: str, disabled: bool) -> int:
@@ -129,7 +129,7 @@
 
     def ready() -> bool:
         grace_over = core.clock.now() - started_at > DISCOVERY_GRACE_MS and core.count_targets()[0] > 0
-        return inbound.handler.ready and (destinations.has_answered or grace_over)
+        return inbound.handler.ready and (discovery_client.has_answered or grace_over)
 
     return OpsServer(listen, counters, max(4, config.limits.sockets // 32), ready,
                      lambda: core.job_stats.snapshot(core.unanswered_jobs, *core.count_targets()), set_disabled)
@@ -144,7 +144,7 @@
     # Sessions of the Gearman front end use file descriptors from the share of the HTTP clients.
     socket_share = 1.0 - gearman.SOCKET_SHARE / INBOUND_SOCKET_SHARE if config.fronts.gearman.listen else 1.0
     inbound = Inbound(config, core, counters, socket_share=socket_share)
-    destinations = DiscoveryClient(config, core, counters)
+    discovery_client = DiscoveryClient(config, core, counters)
     store = Store(config.settings.me, config.fronts.store.entries_most)
     peers = Peers(config, core, counters, store)
     gearman_front = GearmanFrontEnd(config, core, counters, store, stop.set)
@@ -176,11 +176,11 @@
                                core.apply_operator_changes)
     shared_files.poll_overrides()  # before any list, so that nothing is ever sent to a disabled worker
     ops = None if config.admin is None else create_ops(config.admin, config, core, counters, shared_files, inbound,
-                                                       destinations)
+                                                       discovery_client)
     core.ports = {discovery.SOURCE: outbound, gearman.SOURCE: gearman_front}
-    core.list_port = destinations
+    core.list_port = discovery_client
     core.peer_port = peers
-    destinations.publish_cached()
+    discovery_client.publish_cached()
     if core.import_state(shared_files.read_state_snapshot()):
         counters.add("ops.inherited")
     actors = Tasks(counters)
@@ -199,8 +199,8 @@
         if address_inbound is not None:
             await address_inbound.open()
         reload.also_reload.append(gearman_front.reload_tls)
-        for work in (core.run(), outbound.run(), destinations.run(), gearman_front.run(), sinks.run_graphite(),
-                     sinks.run_collectd(), sinks.run_log(), reload.run(destinations, core)):
+        for work in (core.run(), outbound.run(), discovery_client.run(), gearman_front.run(), sinks.run_graphite(),
+                     sinks.run_collectd(), sinks.run_log(), reload.run(discovery_client, core)):
             actors.start(work)
         inbound.handler.ready = True
         shared_files.start_serving()
--- a/gaphub/cold_start.py
+++ b/gaphub/cold_start.py
@@ -29,7 +29,7 @@
 
 
 def load_limit(budget: float) -> float:
-    """The cost that a cold worker bears within a window: its budget and the tolerated random deviation."""
+    """The cost that a cold worker can take within a window: its budget and the tolerated random deviation."""
     deviations = DEVIATIONS_SMALL if budget < SMALL_BUDGET else DEVIATIONS
     return budget + deviations * sqrt(budget) + deviations
 
@@ -66,7 +66,7 @@
         self.counted_at = now
 
     def admits(self, cost: float) -> bool:
-        """Whether a request of this cost may be sent now; drops savings beyond one request."""
+        """Whether a request of this cost may be sent now; drops unused allowance beyond one request."""
         if cost <= LIGHT_COST:
             self.light = min(self.light, LIGHT_COST - self.phase)
             return self.light + self.phase >= cost
--- a/gaphub/destination_table.py
+++ b/gaphub/destination_table.py
@@ -22,7 +22,7 @@
     """The listed destinations, by number."""
 
     def __init__(self, overrides: WorkerOverrides, forget: Callable[[Destination], None]) -> None:
-        """``overrides``: the operators' overrides; ``forget`` is called for each that restarts, moves or goes."""
+        """``overrides``: the operators' overrides; ``forget`` is called when one restarts, moves or is removed."""
         self.overrides = overrides
         self.by_number: dict[int, Destination] = {}
         self._forget = forget
--- a/gaphub/interface.py
+++ b/gaphub/interface.py
@@ -40,7 +40,7 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8  # not sent: the rules on attempts, the client or the deadline stood against it
+    MOOT = 8  # not sent: forbidden by the rules on attempts, the client had left or the deadline had passed
 
 
 # The statuses that prove that an attempt never ran.
@@ -211,7 +211,7 @@
         """
 
     def refuse(self, request: int, retry_after_ms: float) -> None:
-        """Give the final answer: refused, and a retry does no harm."""
+        """Give the final answer: refused; the client may safely retry."""
 
     def fail(self, request: int) -> None:
         """Give the final answer: failed; it may have run."""
@@ -242,7 +242,7 @@
 
 
 class Events(Protocol):
-    """What a balancer is told.  Events about unknown or finished requests and attempts are ignored."""
+    """The events that a balancer receives.  Events about unknown or finished requests and attempts are ignored."""
 
     def on_workers(self, now: float, kind: int, entries: Sequence[ListedWorker]) -> None:
         """The worker list was received, in full or in part, or a call for it failed."""
--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -46,20 +46,20 @@
 FULL_SHARE_STEP = 0.03  # for the share of attempts answered with 'full'
 FULL_BACKOFF_MS = 150.0  # first back-off after 'full', about one short job; doubles, up to 4 times as long
 EJECTION_MS = 1_000.0  # first ejection of a worker that failed to connect or fell silent; doubles
-POSSIBLY_RUNNING = frozenset((Status.TIMEOUT, Status.RESET, Status.CANCELLED))  # the worker may work on
-MIN_REST_SHARE = 0.3  # of an expected response time: how long the slots of such an attempt stay counted
+POSSIBLY_RUNNING = frozenset((Status.TIMEOUT, Status.RESET, Status.CANCELLED))  # the worker may still run it
+MIN_HOLD_SHARE = 0.3  # of the expected response time: the slots of such an attempt stay counted for at least this
 RESEND_AFTER = 6.0  # expected response times without any sign: a repeatable job is cancelled and sent again
-OVERTAKEN_MS = 200.0  # an attempt sent this much before one that has started is in no queue
+OVERTAKEN_MS = 200.0  # an attempt sent this long before one that has started already is not in the queue
 ERROR_RATE_STEP = 0.3  # for the error rate of a worker, with each of its answers
 ERROR_RATE_RISKY = 0.25  # error rate from which a worker gets only jobs that may be repeated
 ERROR_RATE_EJECT = 0.5  # two errors in a row: ejected, as a worker that fails at once looks free
-ERROR_MEMORY_MS = 8_000.0  # an older error says nothing
+ERROR_MEMORY_MS = 8_000.0  # an older error is ignored
 ERROR_EJECTION_MAX = 2  # times EJECTION_MS, for errors: a trial with a repeatable job costs little
 RESETS_TO_EJECT = 2  # in a row: a single reset is a fault of the connection, not of its worker
 EJECTION_MAX = 16  # times EJECTION_MS, so that a recovered worker is tried again within seconds
 SILENT_PROGRESS_INTERVALS = 2.5  # without a progress update from running work: it is stalled
 SILENT_RESPONSE_TIMES = 4.0  # typical response times without any sign, where no progress is announced
-MIN_SILENCE_MS = 1_500.0  # a shorter silence means nothing
+MIN_SILENCE_MS = 1_500.0  # a shorter silence is not taken for a failure
 START_SLACK = 1.6  # times the usual start delay: a job that starts later is waiting in a queue
 FIRST_START_DELAY_MS = 25.0  # start delay assumed before any was measured (a handshake and a tick or two)
 HEDGE_MAX_FULL_SHARE = 0.04  # share of attempts answered 'full' from which no job may wait in two queues
@@ -86,7 +86,7 @@
 SHED_VALUE_RANGE = 0.6  # on top for the most valuable work; grows with the root of the value of its time
 SHED_WAIT = 0.5  # of the tightest aim that may have to wait behind a job: a longer wait is shed
 SHED_WAIT_VALUE_RANGE = 1.0  # on top for the most valuable work
-RETRY_AFTER_MS = 300.0  # told to a refused client: soon enough for a retry to be in time
+RETRY_AFTER_MS = 300.0  # sent to a refused client: soon enough for its retry to be on time
 SHED_WIDTH = 0.3  # saturation from the first shed request of a value to all of them
 MAX_KEYS = 1_024  # keys with a type of their own; the least recently used one is evicted
 FIRST_WATCH_SPREAD = 0.6  # of the ask interval, over which schedulers spread their first call
@@ -132,7 +132,7 @@
         self.zone_reach = ZoneReach(settings.zones)
         self.full_share = 0.0  # share of attempts answered with 'full'
         self.saturation = 0.0  # share of own jobs that start late, else of reports without a free slot
-        self.longest_left_ms = [0.0] * len(settings.classes)  # most time that a request came in with
+        self.longest_left_ms = [0.0] * len(settings.classes)  # by class: most time left on arrival
         self.quotas = TenantQuotas(now, len(settings.tenants))
         self.watching = False
         self.list_retry_ms = LIST_RETRY_MS
@@ -221,7 +221,7 @@
         return class_type, key_type
 
     def on_request(self, now: float, request: Request) -> None:
-        """Take a request: send it, or refuse it where that is worth more."""
+        """Accept a request: send it, or refuse it if that has the higher expected value."""
         if request.id in self.jobs:
             return
         class_index = request.class_index
@@ -472,8 +472,8 @@
         if key_type is not None:
             pool = self._hash_order(job, pool, now)
         pool_size = len(pool)
-        everyone = wanted * 2 >= pool_size or key_type is not None
-        draws = pool_size if everyone else wanted * DRAWS_PER_CANDIDATE
+        rank_all = wanted * 2 >= pool_size or key_type is not None
+        draws = pool_size if rank_all else wanted * DRAWS_PER_CANDIDATE
         rates, kind_rates, max_rate = job_type.rates, job_type.kind_rates, job_type.max_rate
         scale = in_flight / job_type.total_rate
         best: Worker | None = None
@@ -481,10 +481,10 @@
         attempts = job.attempts
         available_seen = 0
         for i in range(draws):
-            worker = pool[i] if everyone else pool[int(draw() * pool_size)]
+            worker = pool[i] if rank_all else pool[int(draw() * pool_size)]
             rate = (self._rate(job, worker, now) if key_type is not None
                     else rates.get(worker.id) or kind_rates[worker.kind])
-            if not everyone and draw() * max_rate > rate:
+            if not rank_all and draw() * max_rate > rate:
                 continue
             if attempts and any(attempt.worker is worker for attempt in attempts):
                 continue
@@ -513,7 +513,7 @@
                         continue
                     best_tie = tie
             best, best_tier, best_gap, best_rate = worker, tier, gap, rate
-            if available_seen >= wanted and (not everyone or key_type is not None):
+            if available_seen >= wanted and (not rank_all or key_type is not None):
                 break
         return best, best_tier
 
@@ -765,7 +765,7 @@
         if job.closed or attempt.cancelled:
             return
         if self._too_late(job, now + self._min_run_ms(job, self.run_ms_per_hint[worker.kind])):
-            # It would run to its end for nothing; a faster worker may still be in time.
+            # Its result would be worthless; a faster worker may still be in time.
             self._cancel_attempt(attempt)
             return
         job.started = True
@@ -809,7 +809,7 @@
                 self._give_up(job, now, "hopeless")
 
     def on_stream(self, now: float, request: int, attempt_index: int) -> None:
-        """The answer streams: the attempt belongs to the client, and no deadline applies any more."""
+        """The answer streams: the request counts as answered, and no deadline applies any more."""
         attempt = self._find_attempt(request, attempt_index)
         if attempt is None or not attempt.open:
             return
@@ -852,7 +852,7 @@
 
     def on_outcome(self, now: float, request: int, attempt_index: int, status: int, latency_ms: float,
                    closed: bool, report: tuple[float, ...]) -> None:
-        """An attempt ended: learn from it, and go on with its request if that still needs an answer."""
+        """An attempt ended: update the estimates, and go on with its request if that still needs an answer."""
         attempt = self._find_attempt(request, attempt_index)
         if attempt is None or not attempt.open:
             return
@@ -866,9 +866,10 @@
                 if not job_type.in_flight_at[worker.id]:
                     del job_type.in_flight_at[worker.id]
         if status in POSSIBLY_RUNNING and attempt.holds_slots:
-            # The worker may run it on.  Guards against slots counted as free while abandoned work holds them.
+            # The worker may still run it, so its slots stay counted: they would otherwise count as free while
+            # abandoned work holds them.
             usual_ms = self._expected_ms(job, worker)
-            attempt.release_at = now + max(MIN_REST_SHARE * usual_ms,
+            attempt.release_at = now + max(MIN_HOLD_SHARE * usual_ms,
                                            usual_ms - (now - max(attempt.started_at, attempt.sent_at)))
             self._schedule(attempt.release_at, _TIMER_CHECK, attempt)
         else:
@@ -1012,7 +1013,7 @@
 
     def on_probe_result(self, now: float, worker_id: int, status: int, latency_ms: float,
                         report: tuple[float, ...]) -> None:
-        """A probe ended: learn from it, and go on with the jobs that wait for it."""
+        """A probe ended: update the estimates, and go on with the jobs that wait for it."""
         worker = self.fleet.workers.get(worker_id)
         if worker is not None:
             if report:
--- a/gaphub/net/http/connection.py
+++ b/gaphub/net/http/connection.py
@@ -30,7 +30,7 @@
 
 
 class LocalFailureError(ConnectionLostError):
-    """No connection could be opened for lack of resources on this machine, whoever the peer is."""
+    """No connection could be opened for lack of resources on this machine, whatever the peer."""
 
 
 class NeverWrittenError(Exception):
--- a/gaphub/net/http/exchange.py
+++ b/gaphub/net/http/exchange.py
@@ -177,11 +177,11 @@
         This happens if a worker reads the body late, or if this process stalled after the head was written.
         The margin covers one stall only, and there may be another one before the last byte.
         """
-        took_ms = self.core.clock.now() - self.call.first_byte_at
-        if took_ms <= self._timeout_margin_ms:
+        elapsed_ms = self.core.clock.now() - self.call.first_byte_at
+        if elapsed_ms <= self._timeout_margin_ms:
             return False
         self._counters.add("calls.told_late")
-        self._timeout_margin_ms += took_ms
+        self._timeout_margin_ms += elapsed_ms
         return True
 
     async def _send_last_byte(self, connection: Connection, last: bytes) -> None:
--- a/gaphub/net/http/request.py
+++ b/gaphub/net/http/request.py
@@ -25,7 +25,7 @@
 
 _TIMEOUT = re.compile(rb"(\d{1,12})(?:\.\d+)?([mu])")
 _IDENT = re.compile(rb"[!-~]{1,128}")
-_SINGLE_HEADERS = (b"x-request-id", b"x-priority-class", b"x-timeout", b"x-attrs", b"x-retried", b"content-length",
+_UNIQUE_HEADERS = (b"x-request-id", b"x-priority-class", b"x-timeout", b"x-attrs", b"x-retried", b"content-length",
                    b"transfer-encoding")
 # Hop-by-hop headers and those that the scheduler sets itself. A worker gets all others as the client sent them.
 _NOT_FORWARDED = frozenset((b"host", b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
@@ -44,7 +44,7 @@
     if len(_LENGTH_HEADERS.findall(raw)) > 1:
         raise BadRequestError(400, "more than one Content-Length or Transfer-Encoding")
     names = [name for name, _ in event.headers]
-    for name in _SINGLE_HEADERS:
+    for name in _UNIQUE_HEADERS:
         if names.count(name) > 1:
             raise BadRequestError(400, f"{name.decode()} is repeated")
     if dict(event.headers).get(b"content-length", b"0").isdigit():
--- a/gaphub/net/http/session.py
+++ b/gaphub/net/http/session.py
@@ -140,9 +140,9 @@
     def may_close(self, before: float) -> bool:
         """Whether the connection has been idle since before a time, with nothing in transit in this process.
 
-        When this process shuts down, all that it has read is owed an answer. So a connection stays open while an
-        answer is being written, or a request was partly received, or was received and not looked at yet. The
-        caller checks for bytes that are still in the kernel.
+        When this process shuts down, every request that it has read must be answered. So a connection stays
+        open while an answer is being written, or a request was received in part, or as a whole but not parsed yet.
+        The caller checks for bytes that are still in the kernel.
         """
         return (self.waiting_since is not None and self.waiting_since < before
                 and not self.mid_request and not self.has_unread
--- a/gaphub/net/http/tunables.py
+++ b/gaphub/net/http/tunables.py
@@ -36,7 +36,7 @@
 # The input of a flooding client is discarded but still read, because its close can only be seen behind what it has
 # sent. All flooding clients together get one read per interval.
 FLOOD_READ_INTERVAL_S = 0.001
-# A request's last byte is held back for this long; by then a dead connection has shown itself.
+# A request's last byte is held back for this long; by then the reset of a stale connection has arrived.
 LAST_BYTE_DELAY_S = 0.004
 # A worker may close a reused connection on receiving a whole request, which may then have run. A job that is not
 # safe to repeat gets a new connection while more than this share of reused connections ends like that.
--- a/gaphub/net/listener.py
+++ b/gaphub/net/listener.py
@@ -20,7 +20,7 @@
 # full is not refused: its SYN is dropped, and the client's kernel retransmits it after 1, 2 and 4 s.
 BACKLOG = 4096
 SHUTDOWN_BACKLOG = 64  # for a listener about to close: all connections in its queue must be accepted at once
-DEFER_ACCEPT_S = 1  # for which the kernel keeps a connection that has sent nothing; it counts in whole seconds
+DEFER_ACCEPT_S = 1  # the kernel keeps a connection that has sent nothing for this long; whole seconds only
 # After deferring is switched off, all kept connections reach the queue within this time: the kernel's timers are
 # coarse.
 DEFER_FLUSH_MS = 1_100.0
@@ -67,7 +67,7 @@
 def shutdown_if_idle(sock: socket.socket) -> bool:
     """Shut a connection down in both directions unless it has unread input; whether it was shut down.
 
-    Guards against a request that arrives between this check and the close: an aborted transport closes its socket
+    A request could otherwise arrive between this check and the close: an aborted transport closes its socket
     one iteration of the event loop later, and closing a socket with unread bytes resets the connection.
     """
     if has_input(sock.fileno()):
--- a/gaphub/net/peers.py
+++ b/gaphub/net/peers.py
@@ -67,7 +67,7 @@
                     if len(data) != 2 or data[1] > 1:
                         raise MalformedDatagramError("malformed heartbeat")
                     datagrams = []
-                    self.serving_until = now + HEARTBEAT_TTL_MS * owner.heartbeat_stretch * data[1]
+                    self.serving_until = now + HEARTBEAT_TTL_MS * owner.heartbeat_interval_factor * data[1]
                 elif data.startswith(MAGIC):
                     datagrams = store.receive(self.number, data, now) if owner.replicates else []
                 elif not is_exchange_message(data):
@@ -98,7 +98,7 @@
         self.messages_allowed = config.settings.may_tell_peers
         self.replicates = bool(config.fronts.gearman.listen)  # only that front uses the store
         self.serving = True
-        self.heartbeat_stretch = max(1.0, (len(config.peers) - 1) / HEARTBEAT_FULL_RATE_PEERS)
+        self.heartbeat_interval_factor = max(1.0, (len(config.peers) - 1) / HEARTBEAT_FULL_RATE_PEERS)
         self.peers = {address: Peer(i, address, self) for i, address in enumerate(config.peers)
                       if i != config.settings.me}
         self._by_number = {p.number: p for p in self.peers.values()}
@@ -142,7 +142,7 @@
     async def _heartbeat_loop(self) -> None:
         while True:
             self._send_heartbeat()
-            await asyncio.sleep(HEARTBEAT_INTERVAL_S * self.heartbeat_stretch)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * self.heartbeat_interval_factor)
 
     async def _replication_loop(self) -> None:
         """Start a replication round with one peer after another, and publish this scheduler's counters."""
--- a/gaphub/net/timeouts.py
+++ b/gaphub/net/timeouts.py
@@ -20,7 +20,7 @@
 async def timeout_after_poll(seconds: float) -> AsyncIterator[None]:
     """Raise TimeoutError after ``seconds``, but only once the sockets were polled after that time.
 
-    Guards against blaming a peer for a pause of this process: connections that had been established in time
+    A pause of this process would otherwise count against a peer: connections that had been established in time
     counted as refused, and probes that had been answered as unanswered.
     """
     loop = asyncio.get_running_loop()
--- a/gaphub/ops/state_snapshot.py
+++ b/gaphub/ops/state_snapshot.py
@@ -2,7 +2,7 @@
 
 It holds the measured values and the allowances of cold workers.  Pure: no I/O, no clock.  A snapshot carries the
 time at which it was written, and an old one is rejected.  Only classes with unchanged rules are restored, and
-allowances only of workers that have not restarted since.  A snapshot never holds counts of attempts that are out:
+allowances only of workers that have not restarted since.  A snapshot never holds counts of attempts in flight:
 those end with the process that sent them.
 """
 
--- a/gaphub/service.py
+++ b/gaphub/service.py
@@ -39,7 +39,7 @@
         self.counters = counters
         self.on_lease_gained: Callable[[], None] = lambda: None  # called when this instance gains the lease
         self.on_lease_lost: Callable[[], None] = lambda: None  # called when it loses the lease
-        self.node = Node(fronts.cluster, counters, self._on_move)
+        self.node = Node(fronts.cluster, counters, self._on_lease_change)
         self.fence = LeaseFence(self.settings.return_ms, self.node.holds)
         self.announcer = BgpAnnouncer(self.settings, fronts.bgp, counters, self.node.clock, self.node.holds,
                                       config.seed) if self.settings.service else None
@@ -51,22 +51,22 @@
         if self.announcer is not None:
             await self.announcer.open()
 
-    def _on_move(self, move: LeaseChange) -> None:
-        self.counters.log("lease.gained" if move.gained else "lease.lost", f"term={move.term} {move.reason}")
-        if move.gained:
+    def _on_lease_change(self, change: LeaseChange) -> None:
+        self.counters.log("lease.gained" if change.gained else "lease.lost", f"term={change.term} {change.reason}")
+        if change.gained:
             self.on_lease_gained()
             if self.announcer is not None:
-                self.announcer.set(move.term)
+                self.announcer.set(change.term)
             return
         self.on_lease_lost()
         self._tasks.start(self.core.post(self.core.fence_lost))
         if self.announcer is None:
             return
-        if move.reason in LINGER_REASONS:
+        if change.reason in LINGER_REASONS:
             # Keep the route until the successor's has arrived: a router without any route would drop clients'
             # packets.  Requests that arrive here meanwhile are refused at once.
             self.announcer.set(None, linger=True)
-            self._tasks.start(self._withdraw_later(move.term))
+            self._tasks.start(self._withdraw_later(change.term))
         else:
             self.announcer.set(None)
 
