--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -180,8 +180,8 @@
             lambda: WorkerConnection(self), "127.0.0.1", 0, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
 
-    async def open_plugged(self) -> None:
-        """Listen with a full backlog: connections are established only after ``unplug``."""
+    async def open_with_full_backlog(self) -> None:
+        """Listen with a full backlog: connections are established only after ``start_accepting``."""
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
@@ -193,7 +193,7 @@
             self._fillers.append(filler)
         await asyncio.sleep(0.05)
 
-    async def unplug(self) -> None:
+    async def start_accepting(self) -> None:
         """Accept from now on: waiting clients connect when their SYN is retransmitted (after 1 s, then 2 s)."""
         assert self._listener is not None
         for filler in self._fillers:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -2,7 +2,7 @@
 
 Each run draws short deadlines, workers that hang, turn requests away or reset connections, a series of signals and
 sometimes a crowd of idle clients.  It starts one scheduler, or two that exchange messages, and shuts one of them
-down twice.  Violations of the protocol page are reported with the request's id.  To run it by hand:
+down twice.  Violations of the protocol page are reported with the request's id.  To run it manually:
 ``python -m tests.soak --seeds 50``.
 """
 
@@ -362,10 +362,10 @@
     """Run the long soak test and print the violations."""
     runs: list[Soak] = []
 
-    async def all_of_them() -> None:
+    async def run_all() -> None:
         runs.extend(await soak(list(range(first, first + seeds)), together))
 
-    play(all_of_them(), WITHIN_S * seeds)
+    play(run_all(), WITHIN_S * seeds)
     for run in sorted(runs, key=lambda run: run.plan.seed):
         print(run.plan, dict(run.counts), *run.violations, sep="\n    ")
     totals = sum((run.counts for run in runs), Counter())
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -381,12 +381,12 @@
         port = free_port()
         seen: list[bytes] = []
 
-        async def garble(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def send_junk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(junk)
             seen.append(await reader.read(4096))
             writer.close()
 
-        server = await asyncio.start_server(garble, "127.0.0.1", port)
+        server = await asyncio.start_server(send_junk, "127.0.0.1", port)
         speaker = BgpSpeaker(("127.0.0.1", port), "", SessionConfig(65010, "10.0.0.1", 65000, retry_s=0.01),
                              Counters(), steady_ms, lambda s: None)
         task = asyncio.create_task(speaker.run())
--- a/tests/test_believed.py
+++ b/tests/test_believed.py
@@ -117,12 +117,12 @@
     keyring.write(file, [one, two])
     both = keyring.read(file)
     keyring.write(file, [keyring.KeyEntry(one.id, one.secret), keyring.KeyEntry(two.id, two.secret, True)])
-    moved = keyring.read(file)
-    for sender, receiver in ((old, both), (both, old), (both, moved), (moved, both), (moved, moved)):
+    switched = keyring.read(file)
+    for sender, receiver in ((old, both), (both, old), (both, switched), (switched, both), (switched, switched)):
         a, b = pair()
         assert isinstance(b.open(receiver.get, a.seal(sender.signing, 2, MESSAGE)), OpenedDatagram)
     a, b = pair()
-    assert b.open(old.get, a.seal(moved.signing, 2, MESSAGE)) == "unknown_key"
+    assert b.open(old.get, a.seal(switched.signing, 2, MESSAGE)) == "unknown_key"
 
 
 @pytest.mark.parametrize(("text", "why"), [
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,9 +1,9 @@
 """New clients that connect while a crowd of others holds connections and never finishes a request.
 
-Each newcomer has one job on a new connection, and must be served in time whatever the size of the crowd. There are
-many newcomers in each run, as only a few of them may be unlucky.
+Each new client has one job on a new connection, and must be served in time whatever the size of the crowd. There
+are many new clients in each run, as only a few of them may be delayed by chance.
 
-With a crowd of 1,400 some newcomers once took 1, 2 or 4 s to connect, and were then refused for lack of time or
+With a crowd of 1,400 some new clients once took 1, 2 or 4 s to connect, and were then refused for lack of time or
 got no answer. The accept queue held 512 connections, and the clients' share of descriptors was 320. The kernel
 drops a SYN that finds the queue full, and the client retransmits it after 1, 2 and 4 s. The queue drained slowly,
 because each eviction passed over all connections twice: a whole core for 1,100 evictions per second. Connecting
@@ -54,9 +54,9 @@
 
 DESCRIPTORS = 640
 WORKERS = 8
-NEWCOMERS = 40
-NEWCOMER_INTERVAL_S = 0.25
-TIMEOUT_MS = 2_900  # of a newcomer's job
+NEW_CLIENTS = 40
+NEW_CLIENT_INTERVAL_S = 0.25
+TIMEOUT_MS = 2_900  # of a new client's job
 PATIENCE_S = 5.0
 CROWD_CONNECT_S = 2.0  # for the crowd to connect
 CROWD_S = 60.0
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class Newcomer:
+class NewClient:
     """One client with one job: the status of its answer (0: none within ``PATIENCE_S``) and its times."""
 
     ident: str
@@ -96,9 +96,9 @@
     answer_s: float = PATIENCE_S
 
 
-async def newcomer(port: int, ident: str, pause_s: float = 0.0) -> Newcomer:
+async def connect_new_client(port: int, ident: str, pause_s: float = 0.0) -> NewClient:
     """Connect and send one job; ``pause_s``: from connecting to the first byte."""
-    found, began = Newcomer(ident), time.monotonic()
+    found, began = NewClient(ident), time.monotonic()
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(PATIENCE_S):
@@ -119,8 +119,8 @@
     return found
 
 
-async def play(size: int, folder: Path, pause_s: float = 0.0) -> list[Newcomer]:
-    """Let newcomers connect one after another while there is a crowd; ``pause_s``: before their first bytes."""
+async def play(size: int, folder: Path, pause_s: float = 0.0) -> list[NewClient]:
+    """Let new clients connect one after another while there is a crowd; ``pause_s``: before their first bytes."""
     workers = Workers({"poloha": 20.0})
     await workers.open(WORKERS)
     agent = Agent(workers.addresses)
@@ -134,9 +134,9 @@
             processor_s_before = one.cpu_s()
             began = time.monotonic()
             tasks = []
-            for i in range(NEWCOMERS):
-                tasks.append(asyncio.create_task(newcomer(one.listen, f"new-{i}", pause_s)))
-                await asyncio.sleep(NEWCOMER_INTERVAL_S)
+            for i in range(NEW_CLIENTS):
+                tasks.append(asyncio.create_task(connect_new_client(one.listen, f"new-{i}", pause_s)))
+                await asyncio.sleep(NEW_CLIENT_INTERVAL_S)
             found = await asyncio.gather(*tasks)
             share = (one.cpu_s() - processor_s_before) / (time.monotonic() - began)
         counts = await counters(one.listen)
@@ -160,7 +160,7 @@
     assert [n for n in found if n.status != 200 or n.dropped] == []
 
 
-# A newcomer must not be evicted because its own machine is slow to write after connecting.
+# A new client must not be evicted because its own machine is slow to write after connecting.
 @pytest.mark.parametrize("pause_s", [0.3, 0.6, 0.9])
 def test_newcomers_that_write_a_while_after_connecting_are_served_in_a_crowd(
         pause_s: float, tmp_path: Path) -> None:
@@ -183,7 +183,7 @@
             for i in range(CLIENTS_PER_STOP_POINT):
                 for n, where in enumerate(STOP_POINTS):
                     stopping.append(asyncio.create_task(stop(one.listen, where, f"{i}-{n}")))
-                await asyncio.sleep(NEWCOMER_INTERVAL_S)
+                await asyncio.sleep(NEW_CLIENT_INTERVAL_S)
             await asyncio.gather(*stopping)
 
     crowded = Site(tmp_path, 0.01, grades=LONG_DEADLINES)
@@ -361,7 +361,7 @@
     All of them were once accepted at once, beyond the limit: 567 of 544 and 798 of 512 descriptors in benchmark
     runs with a crowd. They must be accepted as descriptors become free, while the kernel queues the rest.
     """
-    found: list[Newcomer] = []
+    found: list[NewClient] = []
     peak = 0
 
     async def course(one: Process) -> None:
@@ -369,12 +369,12 @@
         with crowd(one.listen, CROWD_AT_SHUTDOWN, CROWD_S):
             await asyncio.sleep(CROWD_CONNECT_S)
             began, sigterm_at = time.monotonic(), 0.0
-            tasks: list[asyncio.Task[Newcomer]] = []
+            tasks: list[asyncio.Task[NewClient]] = []
             while not sigterm_at or time.monotonic() < sigterm_at + LAST_CLIENTS_S:
                 if not sigterm_at and time.monotonic() > began + LAST_CLIENTS_S:
                     one.process.send_signal(signal.SIGTERM)
                     sigterm_at = time.monotonic()
-                tasks.append(asyncio.create_task(newcomer(one.listen, f"last-{len(tasks)}")))
+                tasks.append(asyncio.create_task(connect_new_client(one.listen, f"last-{len(tasks)}")))
                 await asyncio.sleep(LAST_INTERVAL_S)
             while time.monotonic() < sigterm_at + KILLED_S and one.process.poll() is None:
                 with suppress(FileNotFoundError):  # the process has just ended
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -113,7 +113,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_site(workers: list[Worker], limits: dict[str, object], plugged: bool = False,
+async def open_site(workers: list[Worker], limits: dict[str, object], full_backlog: bool = False,
                     gearman: bool = False) -> AsyncIterator[Site]:
     """Start schedulers that know the workers; everything is closed at the end."""
     discovery = Discovery()
@@ -121,7 +121,7 @@
     site = Site(fleet, [*workers], random.Random(7))
     try:
         for worker in workers:
-            await (worker.open_plugged() if plugged else worker.open())
+            await (worker.open_with_full_backlog() if full_backlog else worker.open())
         discovery.entries = [entry(f"w{n}", w) for n, w in enumerate(workers)]
         await discovery.open()
         await fleet.open()
@@ -144,7 +144,7 @@
 def test_who_leaves_while_the_connection_comes_up_is_not_sent_on(cancel: bool) -> None:
     async def work() -> None:
         slow = Worker(serve)
-        async with open_site([slow], {"dialTimeout": 2500.0, "cancel": cancel}, plugged=True) as site:
+        async with open_site([slow], {"dialTimeout": 2500.0, "cancel": cancel}, full_backlog=True) as site:
             leaving: list[Client] = []
             staying: list[Client] = []
             for to in site.fleet.addresses:
@@ -158,7 +158,7 @@
                 await asyncio.sleep(0.3 / len(leaving))
             assert not slow.attempts, "the worker must be unreachable until now"
             await asyncio.sleep(LATE_START_S)
-            await slow.unplug()  # the kernel retransmits the SYN a second after the first
+            await slow.start_accepting()  # the kernel retransmits the SYN a second after the first
             await site.wait_until_started(sum(len(c.idents) for c in staying), staying, 1, 4.0)
             assert site.count_started(staying, 1) >= len(staying), "too few of the staying were sent on"
             late = site.late_attempts()
--- a/tests/test_occupancy_processes.py
+++ b/tests/test_occupancy_processes.py
@@ -52,15 +52,15 @@
 
 
 class _Relay(asyncio.DatagramProtocol):
-    def __init__(self, network: Network, at: int, of: int) -> None:
-        self.network, self.at, self.of = network, at, of
+    def __init__(self, network: Network, sender: int, receiver: int) -> None:
+        self.network, self.sender, self.receiver = network, sender, receiver
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)  # typed only as BaseTransport
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.network.relay_datagram(self.at, self.of, data)
+        self.network.relay_datagram(self.sender, self.receiver, data)
 
     def error_received(self, exc: Exception) -> None:
         pass  # the target process is down
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -85,8 +85,8 @@
     assert jitter(b"n1", 7, 1000.0) == jitter(b"n1", 7, 1000.0)
     assert jitter(b"n1", 7, 1000.0) != jitter(b"n1", 8, 1000.0)
     waits = [jitter(b"n%d" % i, 7, 1000.0) for i in range(140)]
-    assert all(0 <= observed_weight < 1000.0 for observed_weight in waits)
-    tenths = [sum(1 for observed_weight in waits if k * 100 <= observed_weight < (k + 1) * 100) for k in range(10)]
+    assert all(0 <= wait < 1000.0 for wait in waits)
+    tenths = [sum(1 for wait in waits if k * 100 <= wait < (k + 1) * 100) for k in range(10)]
     assert max(tenths) < 3 * 14, tenths
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak test of shutdown (``tests/soak.py``), on its own seeds; the long one is run by hand."""
+"""A short run of the soak test of shutdown (``tests/soak.py``), on its own seeds; the long one is run manually."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def test_clients_that_use_their_connections_until_sigkill_lose_nothing() -> None:
     runs: list[Soak] = []
 
-    async def all_of_them() -> None:
+    async def run_all() -> None:
         runs.extend(await soak(SEEDS, TOGETHER))
 
-    play(all_of_them(), WITHIN_S)
+    play(run_all(), WITHIN_S)
     violations = [violation for run in runs for violation in run.violations]
     assert not violations, violations
     assert sum(run.counts["sent"] for run in runs) > 1_000
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -112,8 +112,8 @@
     lost = world.request()
     worker = world.balancer.fleet.workers[world.worker_of(lost)]
     world.wait(1_000.0)
-    laters = [world.request(1) for _ in range(4)]
-    later = next(request for request in laters if world.worker_of(request) == worker.id)
+    later_requests = [world.request(1) for _ in range(4)]
+    later = next(request for request in later_requests if world.worker_of(request) == worker.id)
     world.balancer.on_started(world.now, later, 0)
     before = worker.slots_out
     world.wait(400.0)
