--- a/gaphub/announce/announcer.py
+++ b/gaphub/announce/announcer.py
@@ -80,7 +80,7 @@
         return host_route(self.address_config, session, self.term) if self.term is not None and (
             self.lingers or self.holds()) else None
 
-    lingers = False  # whether the route may outlive the lease for a moment; only after a hand-over
+    lingers = False  # whether the route stays announced briefly after the lease ended; only after a hand-over
 
     def set(self, term: int | None, linger: bool = False) -> None:
         """Announce or withdraw; with ``linger``, keep the announced route although the lease has ended."""
--- a/gaphub/announce/speaker.py
+++ b/gaphub/announce/speaker.py
@@ -37,12 +37,12 @@
         self.desired_route = desired_route  # returns the route to announce now; None: no route
         self.session = Session(config)
         self.advertised: Update | None = None  # the route announced in the current session
-        self._wake = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._writer: asyncio.StreamWriter | None = None
 
     def refresh(self) -> None:
         """Announce or withdraw at once if the desired route has changed."""
-        self._wake.set()
+        self._wake_event.set()
         if self.session.state is State.ESTABLISHED:
             self._advertise()
             self._flush()
@@ -50,7 +50,7 @@
     def cease(self, subcode: int = 6) -> None:
         """End the session now; ``run`` establishes it again."""
         self.session.stop(self.clock(), subcode)
-        self._wake.set()
+        self._wake_event.set()
 
     def _advertise(self) -> None:
         """Send the difference between the advertised and the desired route."""
@@ -107,8 +107,8 @@
                 self._flush()
                 if session.drop:
                     break
-                self._wake.clear()
-                wake_task = asyncio.ensure_future(self._wake.wait())
+                self._wake_event.clear()
+                wake_task = asyncio.ensure_future(self._wake_event.wait())
                 left = max(0.0, min(MAX_WAIT_S, (session.next_due() - self.clock()) / 1000.0))
                 await asyncio.wait({read_task, wake_task}, timeout=left, return_when=asyncio.FIRST_COMPLETED)
                 wake_task.cancel()
@@ -139,11 +139,11 @@
             self.counters.log("bgp.session_ended", session.last_error)
 
     async def _wait(self) -> None:
-        self._wake.clear()
+        self._wake_event.clear()
         left = max(0.001, min(MAX_WAIT_S, (self.session.next_due() - self.clock()) / 1000.0))
         with suppress(TimeoutError):
             async with asyncio.timeout(left):
-                await self._wake.wait()
+                await self._wake_event.wait()
 
     async def shut_down(self) -> None:
         """Send Cease, so that the neighbour need not wait for its hold timer."""
@@ -169,17 +169,17 @@
         self.rng = rng
         self.session = bfd.Session(rng.getrandbits(31) | 1, interval_ms, multiplier, clock())
         self._transport: asyncio.DatagramTransport | None = None
-        self._woken = asyncio.Event()
+        self._wake_event = asyncio.Event()
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Handle a received packet; one from any other address than the neighbour's is dropped."""
         packet = bfd.parse(data) if (addr[0], addr[1]) == self.peer_address else None
         if packet is None or not self._track_state(lambda: self.session.receive(self.clock(), packet)):
             self.counters.log("garbled.bfd", f"{len(data)} bytes from {addr[0]}:{addr[1]}")
-        self._woken.set()
+        self._wake_event.set()
 
     def error_received(self, exc: Exception) -> None:
-        """Count an error of the socket, such as nobody listening at the neighbour's port."""
+        """Count an error of the socket, such as no listener at the neighbour's port."""
         self.counters.add("bfd.socket_errors")
 
     def _track_state(self, call: Callable[[], object]) -> object:
@@ -203,12 +203,12 @@
         try:
             while True:
                 self._track_state(self._send)
-                self._woken.clear()
+                self._wake_event.clear()
                 left = (self.session.next_due() - self.clock()) / 1000.0
                 if left > 0:
                     with suppress(TimeoutError):
                         async with asyncio.timeout(min(left, MAX_WAIT_S)):
-                            await self._woken.wait()
+                            await self._wake_event.wait()
         finally:
             self._transport.close()
 
--- a/gaphub/cluster/election.py
+++ b/gaphub/cluster/election.py
@@ -27,7 +27,7 @@
 
 from .types import MINUTE_MS, ElectionParameters, Kind, LeaseChange, Member, Message, PersistentState
 
-MAX_TERM_JUMP = 1_000_000  # messages with a term further ahead than this are rejected, whoever sent them
+MAX_TERM_JUMP = 1_000_000  # messages with a term further ahead than this are rejected, from any sender
 MAX_PENDING_RENEWALS = 8  # latest renewals whose answers still count
 NEVER = -1e18  # ms, earlier than any time: the timer does not run, the event has not happened
 
@@ -428,13 +428,13 @@
         self.holder = 0
 
     def _begin_lease(self, now: float) -> None:
-        until = self.round_started_at + self.parameters.holder_lease_ms
-        if now >= until:
+        lease_until = self.round_started_at + self.parameters.holder_lease_ms
+        if now >= lease_until:
             self._step_down(now)
             return
         self.role = Role.HOLDER
         self.holder = self.me
-        self.lease_until = until
+        self.lease_until = lease_until
         self.held_since = now
         self.pending_renewals = {}
         self.lease_changes.append(LeaseChange(True, self.term, "elected"))
--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -97,7 +97,7 @@
     winners_by_term: dict[int, set[int]] = field(default_factory=dict)
 
     def clock(self, i: int) -> float:
-        """A member's own clock; each has another offset, as safety must not depend on it."""
+        """A member's own clock; each has a different offset, as safety must not depend on it."""
         return 1000.0 * i + self.now * self.rates[i]
 
     def state_key(self) -> tuple[Any, ...]:
--- a/gaphub/cluster/types.py
+++ b/gaphub/cluster/types.py
@@ -77,7 +77,7 @@
     stagger_ms: float = 40.0  # delay of a candidacy per rank, so that candidates do not compete
     jitter_ms: float = 40.0  # upper bound of the pseudo-random delay of a candidacy
     hello_ms: float = 100.0  # interval between heartbeats of a member that does not hold the lease
-    suspect_ms: float = 350.0  # a member that was not heard for this long counts as down
+    suspect_ms: float = 350.0  # a member that was not heard from for this long is considered down
     moves_most: int = 30  # votes that one voter grants per minute; 0: unlimited
     preempt_ms: float = 0.0  # after holding this long, hand over to a ready member of higher priority; 0: never
 
--- a/gaphub/gearman/queues.py
+++ b/gaphub/gearman/queues.py
@@ -1,8 +1,8 @@
 """Queues of jobs that wait until the core can take them: admission, order and expiry.
 
 Opens no sockets and files, reads no clock and uses no randomness; times are passed in, in milliseconds.  A job
-must not stay here once it has been offered to the core: jobs wait before they are offered, never after, and what
-the Balancer gives up is answered at once.
+must not stay here once it has been offered to the core: jobs wait before they are offered, never after, and a job
+that the Balancer rejects is answered at once.
 
 Order within a class: by priority, with ageing.  Every ``AGEING_INTERVAL``-th job that is dequeued is the oldest
 one of the class, whatever its priority, so that a steady stream of high-priority jobs cannot starve the others.
@@ -51,7 +51,7 @@
     queued_at: float
     expires_at: float  # when its client's deadline, or the lifetime of a background job, ends
     serial: int = 0
-    removed: bool = False  # or dequeued or expired; entries that still refer to it are skipped
+    removed: bool = False  # by ``remove``, dequeue or expiry; entries that still refer to it are skipped
 
 
 class _PriorityLevel:
@@ -117,7 +117,7 @@
     # -- admission --
 
     def set_function_limits(self, function: bytes, limits: list[int]) -> None:
-        """``maxqueue``: one limit for all priorities or one for each; an empty list removes the limits."""
+        """Set ``maxqueue``: one limit for all priorities or one for each; an empty list removes the limits."""
         if not limits:
             self._function_limits.pop(function, None)
         else:
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -98,8 +98,8 @@
         console.print(f"{name}: {states} states ({sweep.states} by the sweep, "
                       f"{pauses.states} by pauses, {walked} walks), up to {terms} "
                       f"terms and {leases} leases, {time.monotonic() - started_at:.1f} s: "
-                      f"{found or 'nothing broken'}"
-                      f"{'' if as_expected else '  <-- not as it must be'}")
+                      f"{found or 'no violation'}"
+                      f"{'' if as_expected else '  <-- unexpected result'}")
     if any_wrong:
         raise SystemExit(1)
 
@@ -155,7 +155,7 @@
         for checkout, (ready_ms, resident_mb) in measure(
                 [own_checkout, *(Path(b).resolve() for b in beside)], sys.executable, runs,
                 free_port(), size).items():
-            console.print(f"{checkout}: told of {size}: ready after {ready_ms:.0f} ms, "
+            console.print(f"{checkout}: {size} peers and workers each: ready after {ready_ms:.0f} ms, "
                           f"{resident_mb:.1f} MB resident, {runs} runs")
 
 
@@ -266,7 +266,7 @@
         for changed_at, hop in site.front.route_changes:
             console.print(f"{max(0.0, changed_at - started_at):5.1f} s  route to {hop or 'nobody'}")
         console.print(f"jobs {len(clients.jobs)}, served {sum(j.served for j in clients.jobs)}; tries by ending "
-                      f"{outcome.endings}; never-twice jobs run twice {outcome.duplicates}; "
+                      f"{outcome.endings}; at-most-once jobs run twice {outcome.duplicates}; "
                       f"answers beyond one {outcome.doubles}")
         await clients.close()
     finally:
--- a/gaphub/lab/failover.py
+++ b/gaphub/lab/failover.py
@@ -37,7 +37,7 @@
     moved_ms: list[float] = field(default_factory=list)
     unmoved: int = 0
     duplicates: int = 0  # request IDs of at-most-once classes that ran more than once
-    doubles: int = 0  # answers beyond one for a request, or to no request
+    doubles: int = 0  # second and later answers to a request, and answers that match no request
     rows: int = 0
     endings: dict[str, int] = field(default_factory=dict)
     unanswered: dict[str, int] = field(default_factory=dict)  # tries without an answer, by cause
@@ -167,7 +167,7 @@
         f"  moved in ms: p50 {percentiles['p50']:.0f}, p99 {percentiles['p99']:.0f}, "
         f"max {percentiles['max']:.0f}" if outcome.moved_ms else
         "  no address moves here",
-        f"  never-twice jobs run twice {outcome.duplicates}, answers beyond one {outcome.doubles}",
+        f"  at-most-once jobs run twice {outcome.duplicates}, answers beyond one {outcome.doubles}",
         f"  tries {outcome.rows}, by ending {dict(sorted(outcome.endings.items()))}",
         f"  without an answer {dict(sorted(outcome.unanswered.items()))}",
         f"  vyuctovani worth in the {WORTH_WINDOW_S:.0f} s after a fault: asked {outcome.vyuctovani_asked:.0f}, "
--- a/gaphub/lab/fleet.py
+++ b/gaphub/lab/fleet.py
@@ -15,7 +15,7 @@
 
 # A line may be prefixed with the time, in seconds, at which the log collector received it.
 _LINE = re.compile(rf"^(?:(\d+(?:\.\d+)?) )?gaphub: {GAINED}: (.*)$")
-_GAIN = re.compile(r"([\w.]+)=(\d+)")
+_INCREMENT = re.compile(r"([\w.]+)=(\d+)")
 
 
 class CounterSums:
@@ -30,7 +30,7 @@
 
         A line without a time counts for the second after that of the line before it.  Other lines are skipped.
         """
-        log_gains: defaultdict[int, Counter[str]] = defaultdict(Counter)
+        log_increments: defaultdict[int, Counter[str]] = defaultdict(Counter)
         matched = 0
         second = -1
         for line in lines:
@@ -39,10 +39,10 @@
                 continue
             matched += 1
             second = int(float(match[1])) if match[1] else second + 1
-            log_gains[second].update({name: int(n) for name, n in _GAIN.findall(match[2])})
-        for second, gains in log_gains.items():
-            self.total[second].update(gains)
-            self.peak[second] |= gains
+            log_increments[second].update({name: int(n) for name, n in _INCREMENT.findall(match[2])})
+        for second, increments in log_increments.items():
+            self.total[second].update(increments)
+            self.peak[second] |= increments
         return matched
 
     def table(self, wanted: list[str]) -> list[list[str]]:
@@ -50,13 +50,13 @@
 
         ``wanted``: counters, or prefixes of counter names; empty: all.
         """
-        names = sorted({name for gains in self.total.values() for name in gains
+        names = sorted({name for increments in self.total.values() for name in increments
                         if not wanted or any(name.startswith(w) for w in wanted)})
         rows = [["s", *names]]
         for second in sorted(self.total):
             rows.append(
                 [str(second), *(f"{self.total[second][name]} ({self.peak[second][name]})" for name in names)])
-        rows.append(["all", *(str(sum(gains[name] for gains in self.total.values())) for name in names)])
+        rows.append(["all", *(str(sum(increments[name] for increments in self.total.values())) for name in names)])
         return rows
 
 
--- a/gaphub/lab/front.py
+++ b/gaphub/lab/front.py
@@ -38,7 +38,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     def drop_routes(self) -> None:
-        """Forget all routes of this neighbour."""
+        """Remove all routes of this neighbour."""
         self.routes.clear()
 
 
--- a/gaphub/lab/recovery.py
+++ b/gaphub/lab/recovery.py
@@ -108,7 +108,7 @@
             scheduler.start()
         if not all(await asyncio.gather(*(scheduler.ready(15.0) for scheduler in fleet))):
             raise TimeoutError("a scheduler did not start")
-        began = time.monotonic()
+        started_at = time.monotonic()
         for client in clients:
             client.start()
         await asyncio.sleep(warm_s)
@@ -133,21 +133,21 @@
         pool.close()
         shutil.rmtree(folder, ignore_errors=True)
     rows = [row for client in clients for row in client.rows]
-    return _report(rows, pool, (began, killed_at, stopped_at), schedulers, len(victims))
+    return _report(rows, pool, (started_at, killed_at, stopped_at), schedulers, len(victims))
 
 
-def _report(rows: list[TryRecord], pool: Workers, moments: tuple[float, float, float], schedulers: int,
+def _report(rows: list[TryRecord], pool: Workers, phase_times: tuple[float, float, float], schedulers: int,
             killed: int) -> Report:
     """Compute the report of one run from the clients' records.
 
     Full service is a share of tries served within ``RATE_TOLERANCE`` of the share before the kill.  It is restored
-    after the last bucket, by the time of sending, in which the share is lower.  ``moments``: when the clients
+    after the last bucket, by the time of sending, in which the share is lower.  ``phase_times``: when the clients
     started, the kill, and when the clients stopped, on the monotonic clock.
     """
-    began, killed_at, stopped_at = moments
-    warm = [row for row in rows if began + 1.0 <= row.sent_at < killed_at]
+    started_at, killed_at, stopped_at = phase_times
+    warm = [row for row in rows if started_at + 1.0 <= row.sent_at < killed_at]
     warm_share = sum(1 for row in warm if row.status == 200) / max(1, len(warm))
-    warm_per_s = sum(1 for row in warm if row.status == 200) / max(1e-9, killed_at - began - 1.0)
+    warm_per_s = sum(1 for row in warm if row.status == 200) / max(1e-9, killed_at - started_at - 1.0)
     after = [row for row in rows if row.sent_at >= killed_at]
     buckets: dict[int, list[TryRecord]] = {}
     for row in after:
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -91,7 +91,8 @@
 HANDSHAKE_TIMEOUT_S = 3.0  # of TLS; it also closes the connection of a client that speaks plain TCP to a TLS port
 DUE_RETRY_S = 1.0  # after which a scheduled job that was due but found the queues full is tried again
 ANSWER_MARGIN_MS = 5.0  # before its client's deadline, a job that is still queued is answered
-# With this many times its class's aim left, a dequeued job is offered to the Balancer with the full deadline.
+# A dequeued job with at least this many times its class's aim left is offered to the Balancer as if it had just
+# arrived, with the full deadline.
 FULL_BUDGET_AIMS = 3.0
 MAX_ENDED_BY_EXCEPTION = 64  # handles per session for which a WORK_FAIL may still follow a WORK_EXCEPTION
 DRAIN_TIMEOUT_S = 30.0  # for a peer to read what was sent to it
@@ -112,7 +113,7 @@
         self.own_index = config.settings.me
         self.scheduler_count = config.settings.balancers
         self.max_sessions = int(config.limits.sockets * SOCKET_SHARE)
-        # Until then, at-most-once jobs with a unique are refused.
+        # The time until which at-most-once jobs with a unique are refused.
         self.hold_until = core.clock.now() + self.config.keep_s * 1000.0 if self.config.hold_after_start else 0.0
         self.stopping = False
         self.fence: Fence | None = None
@@ -166,7 +167,7 @@
         await self._listen_on(context)
 
     async def _listen_on(self, context: ssl.SSLContext | None) -> None:
-        """Accept connections with this TLS context on the one listening socket; open sessions go on."""
+        """Accept connections with this TLS context on the one listening socket; open sessions continue."""
         assert self._listener is not None
         old_server = self._server
         self._server = await asyncio.start_server(
@@ -209,7 +210,7 @@
                     if assignment.call is not None and now >= assignment.times_out_at:
                         self.counters.add("gearman.worker_timeouts")
                         await self._end_call(session, handle, Outcome(Status.TIMEOUT))
-                        session.writer.transport.abort()  # a worker must not go on with a job whose call has ended
+                        session.writer.transport.abort()  # a worker must not continue a job whose call has ended
 
     async def close(self) -> None:
         """Close the listening socket and all sessions."""
@@ -300,9 +301,9 @@
             submission.waiting_clients = [s for s in submission.waiting_clients if s is not session]
             if submission.waiting_clients or submission.background or submission.job is None:
                 continue
-            # A job with a unique that was assigned to a worker goes on: its client may believe it lost, submit it
-            # again and join it.  One that was never assigned did not run: it is dropped, as nobody waits for it,
-            # and can be submitted as a new job.
+            # A job with a unique that was assigned to a worker continues: its client may take it for lost, submit
+            # it again and be attached to it.  One that was never assigned did not run: it is dropped, as no client
+            # waits for it, and can be submitted as a new job.
             if submission.unique and any(call.written for call in submission.job.calls):
                 self.counters.add("gearman.left_running")
                 continue
@@ -442,7 +443,7 @@
     # -- queueing and dispatch --
 
     def _enqueue(self, submission: Submission, client: int, size: int) -> bool:
-        """Queue a job until a worker has room; False if the queues are full."""
+        """Queue a job until a worker has capacity; False if the queues are full."""
         assert submission.job is not None
         queued = self.queues.put(submission, submission.job.class_index, submission.function, client,
                                  submission.priority, size, self.core.clock.now(),
@@ -465,7 +466,7 @@
         return job.received_at + self.core.settings.classes[job.class_index].deadline_ms - ANSWER_MARGIN_MS
 
     def _dispatch(self) -> None:
-        """Offer jobs to the core in queue order, as far as workers have room; refuse those that expired."""
+        """Offer jobs to the core in queue order, as far as workers have capacity; refuse those that expired."""
         now = self.core.clock.now()
         for expired in self.queues.pop_expired(now):
             self.counters.add("gearman.expired")
@@ -602,7 +603,7 @@
             _send_result(session, submission.handle, answer.final_status, answer.body)
         submission.waiting_clients.clear()
         if dispatched and self.queues.count:
-            self._dispatch()  # its worker has room again
+            self._dispatch()  # its worker has capacity again
 
     # -- workers --
 
--- a/gaphub/net/gearman/session.py
+++ b/gaphub/net/gearman/session.py
@@ -27,12 +27,12 @@
     background: bool
     waiting_clients: list[Session] = field(default_factory=list)
     job: Job | None = None
-    queue_entry: QueuedJob | None = None  # None once it was offered to the core
+    queue_entry: QueuedJob | None = None  # None unless it is queued
     reducer: bytes = b""  # function that aggregates partial results; sent with JOB_ASSIGN_ALL
     client: int = 0  # of a scheduled job: the number of its client's session
     size: int = 0  # of a scheduled job: of its names and workload
-    running: bool = False  # a worker has started it, or it ended unstarted
-    abandoned_at: float = 0.0  # when its last client left before it was assigned, which ends it; 0: not the case
+    running: bool = False  # a worker has started it, or it ended without having started
+    abandoned_at: float = 0.0  # when its last client left, if that ended the job; 0: it did not
     progress: tuple[bytes, bytes] = (b"0", b"0")
 
 
@@ -59,7 +59,7 @@
         self.awaited_jobs: set[Submission] = set()
         self.abilities: dict[bytes, float] = {}
         self.asleep = False
-        self.listed_as: tuple[int, int] | None = None  # state and class mask as last told to the core
+        self.listed_as: tuple[int, int] | None = None  # state and class mask last sent to the core
         self.queued_calls: list[tuple[int, int, bytes, Call]] = []  # heap: priority, order, handle
         self.assignments: dict[bytes, Assignment] = {}
         # Handles of jobs that WORK_EXCEPTION ended; WORK_FAIL may follow.
