--- a/gaphub/__main__.py
+++ b/gaphub/__main__.py
@@ -156,7 +156,7 @@
 
         address = ServiceAddress(config, core, counters)
         address.on_lease_gained = gearman_front.on_lease_gained
-        address.on_lease_lost = (gearman_front.refuse_waiting if config.fronts.address.gearman
+        address.on_lease_lost = (gearman_front.refuse_queued if config.fronts.address.gearman
                                  else address.on_lease_lost)
         gearman_front.fence = address.fence if config.fronts.address.gearman else None
         if config.fronts.address.service:
--- a/gaphub/net/gearman/front.py
+++ b/gaphub/net/gearman/front.py
@@ -507,7 +507,7 @@
                 "oldest_ms": round(self.queues.oldest_ms(self.core.clock.now()), 1),
                 "refused": self.queues.refused, "out": sum(self._dispatched)}
 
-    def refuse_waiting(self) -> None:
+    def refuse_queued(self) -> None:
         """Refuse all queued and scheduled jobs: this scheduler will not serve them, and none of them ran."""
         for queued in self.queues.clear():
             queued.item.queue_entry = None
@@ -518,7 +518,7 @@
     def stop_accepting(self) -> None:
         """Refuse new jobs from now on, and all that are queued or scheduled."""
         self.stopping = True
-        self.refuse_waiting()
+        self.refuse_queued()
 
     def _is_at_most_once(self, class_index: int) -> bool:
         return self.core.settings.classes[class_index].effect != Effect.SAFE
