--- a/gaphub/cluster/explore.py
+++ b/gaphub/cluster/explore.py
@@ -64,10 +64,10 @@
 
     def hand_over(self, now: float, reason: str = "", to: int = 0) -> int:
         """Send the messages of a hand-over and restore the lease."""
-        role, until, term, rounds = self.role, self.lease_until, self.term, self.pending_renewals
+        role, lease_until, term, rounds = self.role, self.lease_until, self.term, self.pending_renewals
         to = super().hand_over(now, reason, to)
         if role is Role.HOLDER:
-            self.role, self.lease_until, self.term, self.pending_renewals = role, until, term, rounds
+            self.role, self.lease_until, self.term, self.pending_renewals = role, lease_until, term, rounds
         return to
 
 
@@ -276,7 +276,7 @@
 
 def explore_holder_pauses(fault: str = "none", rates: tuple[float, ...] = (0.8, 1.2, 1.2),
                           ticks: int = 60) -> ExplorationReport:
-    """Freeze the holder at every moment for some ticks and isolate it meanwhile, while answers wait for it.
+    """Freeze the holder at every moment for some ticks and isolate it meanwhile, while answers to it are pending.
 
     These are two faults within a few ticks of each other; ``explore_within_bound`` would need a bound of two
     faults and so the square of its states to reach them.
@@ -291,11 +291,11 @@
             start.nodes[2].set_ready(True, start.clock(2))  # the third member only votes
         for holder in [i for i, n in start.nodes.items() if n.role is Role.HOLDER]:
             for pause_ticks in (1, 2, 3, 4, 5):
-                for until in range(pause_ticks):
+                for cut_after in range(pause_ticks):
                     state = start.fork()
-                    path = [(state.now, "freeze", holder, pause_ticks), (state.now + until, "cut", holder, 20)]
+                    path = [(state.now, "freeze", holder, pause_ticks), (state.now + cut_after, "cut", holder, 20)]
                     state.apply(("freeze", holder, pause_ticks), make_node)
-                    while state.now < start.now + until or state.default_choice() != ("time",):
+                    while state.now < start.now + cut_after or state.default_choice() != ("time",):
                         state.apply(state.default_choice(), make_node)
                     state.apply(("cut", holder, 20), make_node)
                     while state.now < start.now + 30:
--- a/gaphub/lab/answers.py
+++ b/gaphub/lab/answers.py
@@ -1,7 +1,7 @@
 """Tables over the requests of a fleet: how they ended, how long they took, and whether workers held their keys.
 
-The records of ``requests`` are read once, one at a time.  Kept are counts, histograms and the most recent keys of
-each worker, so memory does not grow with the number of requests.
+The records of ``requests`` are read once, one at a time.  Only counts, histograms and the most recent keys of each
+worker are kept, so memory does not grow with the number of requests.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from .requests import Call, RequestRecord
 
-LATE_CALL_MS = 300.0  # from then on after its client left, no call of a request may start
+LATE_CALL_MS = 300.0  # so long after its client left, a request must start no more calls
 REORDER_WINDOW_MS = 60_000.0  # calls of longer requests may be evaluated out of order for their worker's keys
 CLOCK_TOLERANCE_MS = 1_000.0  # largest difference between the schedulers' clocks
 MAX_KEYS_PER_WORKER = 4_096  # kept in memory, even if a worker is assumed to keep all
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -167,7 +167,7 @@
 @click.option("--beside", multiple=True, type=click.Path(exists=True),
               help="Another checkout, measured without queued jobs.")
 def gearman(clients: str, jobs: int, workers: int, queue: int, beside: tuple[str, ...]) -> None:
-    """Load the Gearman front: jobs/s, latency, CPU time per job; cost and memory of waiting jobs."""
+    """Load the Gearman front: jobs/s, latency, CPU time per job; cost and memory of queued jobs."""
     counts = [int(c) for c in clients.split(",")]
     for checkout in beside:
         asyncio.run(_run_gearman(counts, jobs, workers, 0, Path(checkout).resolve()))
@@ -183,7 +183,7 @@
             console.print((await gearman_load.throughput(daemon, count, jobs, workers)).line())
         marks = sorted({m for m in (1000, 10_000, queue) if m <= queue})
         for mark, submit_us, bytes_per_job in await gearman_load.measure_queue(daemon, marks) if queue else []:
-            console.print(f"{mark} jobs wait: {submit_us:.0f} us a submit since the last mark, "
+            console.print(f"{mark} jobs queued: {submit_us:.0f} us a submission since the last mark, "
                           f"{bytes_per_job:.0f} bytes a job")
     finally:
         daemon.close()
--- a/gaphub/lab/gearman.py
+++ b/gaphub/lab/gearman.py
@@ -1,4 +1,4 @@
-"""Load test of the Gearman front: throughput, latency, the scheduler's CPU time, and the cost of waiting jobs.
+"""Load test of the Gearman front: throughput, latency, the scheduler's CPU time, and the cost of queued jobs.
 
 The scheduler runs in a process of its own; clients and workers send raw packets from this one.  Every job counts:
 each client waits for the answer to its job, so a lost one never goes unnoticed.
--- a/gaphub/lab/model.py
+++ b/gaphub/lab/model.py
@@ -1,8 +1,8 @@
 """Discrete-event model of a fleet: schedulers with the real decision code, and workers with slots and queues.
 
 It runs in one process, seeded and without I/O.  Workers are slow while cold.  ``Balancer`` runs unchanged, behind
-its interface, and its state is never read.  Counted are the outcomes of the requests of each class and the load
-that cold workers receive.
+its interface, and its state is never read.  The model counts the outcomes of the requests of each class and the
+load that cold workers receive.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 ONE_WAY_MS = 1.0  # between a scheduler and a worker
 QUEUE_LIMIT = 10  # jobs queued at a worker; further ones are answered 'full'
 SMALL_BUDGET = 30.0  # mean requests; random variation weighs more in a smaller budget
-# Standard deviations (of a Poisson count) allowed above a budget, and as many requests besides.
+# Allowed above a budget: this many standard deviations of a Poisson count, plus as many requests.
 DEVIATIONS, DEVIATIONS_SMALL = 2.0, 3.0
 
 
--- a/gaphub/lab/recovery.py
+++ b/gaphub/lab/recovery.py
@@ -85,7 +85,8 @@
 
     def line(self) -> str:
         """The report in one line."""
-        result = "not back" if math.isinf(self.recovered_after_s) else f"back after {self.recovered_after_s:.2f} s"
+        result = ("not recovered" if math.isinf(self.recovered_after_s)
+                  else f"recovered in {self.recovered_after_s:.2f} s")
         return (f"{self.killed} of {self.schedulers} killed: {result} (warm {self.warm_per_s:.0f}/s), "
                 f"p99 {self.p99_ms:.0f} ms meanwhile, {self.refused} refused and {self.failed} failed of "
                 f"{self.tries} tries, peak {self.peak_at_one_worker} at one worker, {self.ran_twice} ran twice")
--- a/gaphub/lab/requests.py
+++ b/gaphub/lab/requests.py
@@ -26,7 +26,7 @@
     outcome: str
     sent_after: float
     duration: float
-    age: float  # of the worker's process when the call was sent; 0: by the clocks it had not started yet
+    age: float  # of the worker's process when the call was sent; 0: it started later, by the clocks
     kind: int  # kind of worker, by its index
     started: float  # when the worker reported the start of the job
     first_byte_sent: float  # when the first byte of the call was sent
--- a/gaphub/lab/scale/change_latency.py
+++ b/gaphub/lab/scale/change_latency.py
@@ -102,7 +102,7 @@
 
 async def measure_list_changes(schedulers: list[RealScheduler], registry: Registry, changes_per_s: float,
                                phase_s: float) -> ChangeLatency:
-    """Remove workers from the list at a rate, at most one zone.  All workers must be listed before."""
+    """Remove workers from the list at a rate, at most those of one zone.  All workers must be listed already."""
     changes_per_s = max(MIN_CHANGES_PER_S, changes_per_s)
     workers = registry.workers_by_zone()[:max(1, registry.workers // registry.zones)]
     count = min(len(workers), max(MIN_CHANGES, round(changes_per_s * phase_s)))
--- a/gaphub/lab/scale/discovery.py
+++ b/gaphub/lab/scale/discovery.py
@@ -34,7 +34,7 @@
         self._random = random.Random(seed)
 
     def set_listed(self, worker: int, listed: bool) -> None:
-        """Remove a worker from the list, or adds it again."""
+        """Remove a worker from the list, or add it again."""
         self.listed[worker] = listed
         self._changes.append(worker)
         self.version += 1
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -174,7 +174,7 @@
 
     def _schedule_first_timers(self, now: float) -> None:
         for i, scheduler in enumerate(self.schedulers):
-            # A random phase of the snapshot cycle, as of schedulers that have run for long.
+            # A random phase of the snapshot cycle, as of schedulers that have run for a long time.
             scheduler.pacing.tick = self.random.randrange(1, 1 + scheduler.pacing.snapshot_ticks)
             phase = i / len(self.schedulers)
             heappush(self._timers, (now + phase * self.plan.fill_s * 1000.0, _SNAPSHOT, i))
--- a/gaphub/occupancy/__init__.py
+++ b/gaphub/occupancy/__init__.py
@@ -1,4 +1,4 @@
-"""How schedulers tell each other their slots out at each worker; no I/O, no clock, no randomness.
+"""How schedulers exchange their slots out at each worker; no I/O, no clock, no randomness.
 
 ``exchange`` is the interface; ``choice`` and ``sized`` choose the implementation.  ``all_to_all``, for small
 fleets, is made of ``messages``, ``peer_counts`` and ``pacing``.  ``sharded``, for large fleets, goes through
--- a/gaphub/occupancy/aggregator.py
+++ b/gaphub/occupancy/aggregator.py
@@ -11,7 +11,7 @@
 
 from .sums_messages import DeadSet, Message
 
-NEVER = -1e18  # before any time
+NEVER = -1e18  # earlier than any time
 MAX_REFUSED_IDS = 1_024  # refused ids stored per member; beyond that, any id counts as possibly refused
 _NO_MEMBERS: frozenset[int] = frozenset()
 
@@ -23,10 +23,10 @@
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}  # by id; no zeros
-        self.applied = 0  # number of the last datagram that was applied; 0: a full report must come
-        self.as_of = NEVER  # the counts include everything that the member had out then
+        self.applied = 0  # number of the last datagram that was applied; 0: a full report is required
+        self.as_of = NEVER  # the counts include all slots that the member had out at that time
         self.dead = DeadSet.of(_NO_MEMBERS)  # the members that the reporter considered dead
-        self.unconfirmed: set[int] | None = None  # ids that an incoming full report has yet to name
+        self.unconfirmed: set[int] | None = None  # ids that an incoming full report has not listed yet
         self.refused: set[int] = set()  # ids that it reported while they were not listed
         self.refused_overflow = False
 
--- a/gaphub/occupancy/all_to_all.py
+++ b/gaphub/occupancy/all_to_all.py
@@ -59,7 +59,7 @@
         return NO_MESSAGES
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Send them to all peers, each of which would else have to find out by itself."""
+        """Send the capacities to all peers, each of which would otherwise have to learn them itself."""
         return (self.capacity_message(ALL_PEERS, capacities),)
 
     def on_message(self, now: float, sender: int, data: bytes, capacities: Mapping[int, float],
@@ -113,7 +113,7 @@
         return [(worker, slots) for worker, slots in self._slots_out.items() if slots > 0]
 
     def counters(self) -> Mapping[str, int]:
-        """There are none: messages sent and received are counted at the socket."""
+        """None: messages sent and received are counted at the socket."""
         return {}
 
     @property
@@ -141,5 +141,5 @@
 
     @staticmethod
     def capacity_message(peer: int, capacities: Mapping[int, float]) -> Outgoing:
-        """A message that tells one peer or all the slots of each kind known here."""
+        """A message to one peer, or to all, with the known slots of each kind of worker."""
         return Outgoing(peer, encode(CAPACITY, 0, list(capacities.items())))
--- a/gaphub/occupancy/budget.py
+++ b/gaphub/occupancy/budget.py
@@ -61,7 +61,7 @@
     sums: int  # sums sent to each peer in a round
     reports: int  # most counts reported to a peer in a round
     cycle_ms: float  # within it, each sum of a shard is sent once
-    silent_ms: float
+    silent_ms: float  # a member that is silent for this long is considered dead
     age_bound_ms: float
 
 
--- a/gaphub/occupancy/identity.py
+++ b/gaphub/occupancy/identity.py
@@ -82,7 +82,7 @@
         return self._reassign(primary_id(name))
 
     def _reassign(self, primary: int) -> list[IdChange]:
-        """Give the workers that share a primary id their ids; returns those that changed."""
+        """Assign ids to the workers that share a primary id; returns those that changed."""
         sharing = self._numbers_by_primary_id.get(primary, set())
         unique = len({self._names[n] for n in sharing}) <= 1
         changes = []
--- a/gaphub/occupancy/pacing.py
+++ b/gaphub/occupancy/pacing.py
@@ -10,9 +10,9 @@
 
 from .messages import DELTA, ENTRIES_MAX, SNAPSHOT, SNAPSHOT_REQUEST, Kind, encode, wire_id
 
-NEVER_MS = -1e18  # before any time
+NEVER_MS = -1e18  # earlier than any time
 HEARTBEAT_INTERVAL_MS = 1_000.0  # mean time between two ticks
-PEERS_PER_STEP = 8  # per this many peers, snapshots come one tick later, and decreased counts are held longer
+PEERS_PER_STEP = 8  # for each so many peers, snapshots come a tick later, and decreased counts are held longer
 FLUSH_DELAY_MS = 60.0  # per PEERS_PER_STEP peers: how long a decreased count is held back
 
 
--- a/gaphub/occupancy/peer_counts.py
+++ b/gaphub/occupancy/peer_counts.py
@@ -8,11 +8,11 @@
 
 from .messages import CAPACITY, DELTA, SNAPSHOT_REQUEST, Message, decode, wire_id
 
-NEVER_MS = -1e18  # before any time
+NEVER_MS = -1e18  # earlier than any time
 HEARTBEAT_TTL_MS = 3_500.0  # a peer silent for this long is considered gone, and its counts are dropped
 REORDER_MS = 100.0  # a lower sequence number later than this is of a restarted peer, or has wrapped around
 SEQUENCE_NUMBERS = 256
-QUORUM_BASE = 3  # peers, if there are as many, that must be heard for the sums to be used,
+QUORUM_BASE = 3  # peers that must be heard for the sums to be used (all, if there are fewer),
 PEERS_PER_QUORUM_MEMBER = 8  # and one more per this many: in a large fleet some are always down
 
 
--- a/gaphub/occupancy/reports.py
+++ b/gaphub/occupancy/reports.py
@@ -83,7 +83,7 @@
         return True
 
     def reset(self, wire_ids: Iterable[int]) -> None:
-        """Report everything anew; ``wire_ids``: the workers with a count above 0 that the peer must be told of."""
+        """Report everything anew; ``wire_ids``: the workers with a count above 0 that must be sent to the peer."""
         self._acknowledged = self.base = 0
         self.sent_ids.clear()
         self._pending = dict.fromkeys(wire_ids, ())
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -221,7 +221,7 @@
 
     @property
     def heard_share(self) -> float:
-        """0, as sums describe earlier moments."""
+        """0, as all sums are of earlier times."""
         return 0.0
 
     def age(self, now: float, worker_id: int) -> float:
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -122,7 +122,7 @@
         return self._for_legacy_peers(messages)
 
     def announce_capacity(self, capacities: Mapping[int, float]) -> Sequence[Outgoing]:
-        """Send them to all peers: the message is the same with both methods."""
+        """Send the capacities to all peers: the message is the same with both methods."""
         return self._all_to_all.announce_capacity(capacities)
 
     def _for_legacy_peers(self, messages: Sequence[Outgoing]) -> Sequence[Outgoing]:
