--- a/gaphub/cluster/node.py
+++ b/gaphub/cluster/node.py
@@ -28,7 +28,7 @@
 MIN_WAIT_S = 0.0005  # lower bound of a wait, so that a timer that stays due cannot cause a busy loop
 
 
-def steady_ms() -> float:
+def monotonic_ms() -> float:
     """Milliseconds of a monotonic clock that includes the time the machine is suspended (CLOCK_BOOTTIME)."""
     clock = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     return time.clock_gettime_ns(clock) / 1e6
@@ -61,7 +61,7 @@
     """One member; ``run`` handles its events one at a time, ``close`` releases the socket."""
 
     def __init__(self, config: ClusterConfig, counters: Counters, on_lease_change: Callable[[LeaseChange], None],
-                 clock: Callable[[], float] = steady_ms) -> None:
+                 clock: Callable[[], float] = monotonic_ms) -> None:
         self.config = config
         self.counters = counters
         self.clock = clock
--- a/gaphub/lab/front.py
+++ b/gaphub/lab/front.py
@@ -15,7 +15,7 @@
 from ..announce.bgp import Update
 from ..announce.session import Session, SessionConfig, State
 from ..announce.speaker import BfdSpeaker
-from ..cluster.node import steady_ms
+from ..cluster.node import monotonic_ms
 from ..config import Address
 from ..metrics import Counters
 from ..tasks import Tasks
@@ -32,7 +32,7 @@
         self.ip = ip
         self.session = Session(SessionConfig(ROUTER_AS, "10.255.0.1", SITE_AS, hold_s=9, retry_s=0.1,
                                              passive=True))
-        self.session.start(steady_ms())
+        self.session.start(monotonic_ms())
         self.routes: dict[str, Update] = {}
         self.announcements = 0  # BGP announcements received from it
         self.writer: asyncio.StreamWriter | None = None
@@ -75,7 +75,7 @@
             return
         self._servers.append(await asyncio.start_server(self._serve_bgp, self.ip, bgp_port, reuse_address=True))
         for ip, (own_address, peer_address) in bfd_ports.items():
-            watcher = BfdSpeaker(own_address, peer_address, 50.0, 3, self.counters, steady_ms,
+            watcher = BfdSpeaker(own_address, peer_address, 50.0, 3, self.counters, monotonic_ms,
                                  lambda up, i=ip: self._bfd_changed(i, up), self._random)  # type: ignore[misc]
             self.watchers[ip] = watcher
             self._tasks.start(watcher.run())
@@ -109,7 +109,7 @@
         if not up:
             neighbour = self.neighbours[ip]
             neighbour.drop_routes()
-            neighbour.session.stop(steady_ms(), 10)  # RFC 9384: session closed because BFD is down
+            neighbour.session.stop(monotonic_ms(), 10)  # RFC 9384: session closed because BFD is down
             if neighbour.writer is not None:
                 neighbour.writer.transport.abort()
             self._note_route_change()
@@ -121,22 +121,22 @@
             return
         neighbour.writer = writer
         session = neighbour.session
-        session.connected(steady_ms())
+        session.connected(monotonic_ms())
         try:
             while not session.drop:
                 if session.out:
                     writer.write(bytes(session.out))
                     session.out.clear()
-                left = max(0.001, min(0.25, (session.next_due() - steady_ms()) / 1000.0))
+                left = max(0.001, min(0.25, (session.next_due() - monotonic_ms()) / 1000.0))
                 try:
                     async with asyncio.timeout(left):
                         data = await reader.read(READ_CHUNK_BYTES)
                 except TimeoutError:
-                    session.tick(steady_ms())
+                    session.tick(monotonic_ms())
                     continue
                 if not data:
                     break
-                session.received(steady_ms(), data)
+                session.received(monotonic_ms(), data)
                 for update in session.received_updates:
                     for prefix in update.withdrawn:
                         neighbour.routes.pop(prefix, None)
@@ -155,7 +155,7 @@
             neighbour.writer = None
             neighbour.drop_routes()
             if session.state not in (State.CONNECT, State.ACTIVE):
-                session.failed(steady_ms())
+                session.failed(monotonic_ms())
             self._note_route_change()
 
     # -- forwarding --
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -17,7 +17,7 @@
 from gaphub.announce.speaker import BfdSpeaker, BgpSpeaker
 from gaphub.cli import gaphub
 from gaphub.cluster import keyring
-from gaphub.cluster.node import Node, steady_ms
+from gaphub.cluster.node import Node, monotonic_ms
 from gaphub.cluster.types import LeaseChange
 from gaphub.core import Core
 from gaphub.interface import Status
@@ -307,7 +307,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writer, self.session = writer, Session(SessionConfig(65000, "10.0.0.9", 65010, passive=True))
         self.session.start(0.0)
-        self.session.connected(steady_ms())
+        self.session.connected(monotonic_ms())
         try:
             while not self.session.drop:
                 writer.write(bytes(self.session.out))
@@ -316,7 +316,7 @@
                 if not data:
                     break
                 before = self.session.times_established
-                self.session.received(steady_ms(), data)
+                self.session.received(monotonic_ms(), data)
                 self.times_established += self.session.times_established - before
                 self.updates += self.session.received_updates
                 self.session.received_updates.clear()
@@ -345,7 +345,7 @@
         holds = [True]
         counters = Counters()
         made = announcer.BgpAnnouncer(config.AddressConfig(service="192.0.2.80", next_hop="127.0.0.1"), front,
-                                      counters, steady_ms, lambda: holds[0], 1)
+                                      counters, monotonic_ms, lambda: holds[0], 1)
         await made.open()
         await wait_until(lambda: router.times_established == 1)
         assert router.updates == [], "nothing is announced before the lease"
@@ -388,7 +388,7 @@
 
         server = await asyncio.start_server(send_junk, "127.0.0.1", port)
         speaker = BgpSpeaker(("127.0.0.1", port), "", SessionConfig(65010, "10.0.0.1", 65000, retry_s=0.01),
-                             Counters(), steady_ms, lambda s: None)
+                             Counters(), monotonic_ms, lambda s: None)
         task = asyncio.create_task(speaker.run())
         await wait_until(lambda: len(seen) >= 2)  # the speaker connects again
         assert not task.done()
@@ -405,8 +405,8 @@
         one, other = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
         heard: list[bool] = []
         counters = Counters()
-        a = BfdSpeaker(one, other, 10.0, 3, counters, steady_ms, heard.append, random.Random(1))
-        b = BfdSpeaker(other, one, 10.0, 3, Counters(), steady_ms, lambda up: None, random.Random(2))
+        a = BfdSpeaker(one, other, 10.0, 3, counters, monotonic_ms, heard.append, random.Random(1))
+        b = BfdSpeaker(other, one, 10.0, 3, Counters(), monotonic_ms, lambda up: None, random.Random(2))
         tasks = [asyncio.create_task(x.run()) for x in (a, b)]
         await wait_until(lambda: heard == [True])
         loop = asyncio.get_running_loop()
@@ -513,7 +513,7 @@
         skew = [0.0]
         cluster_configs = member_configs(2, keys, tmp_path)
         lease_changes: list[LeaseChange] = []
-        nodes = [Node(cluster_configs[0], Counters(), lease_changes.append, lambda: steady_ms() + skew[0]),
+        nodes = [Node(cluster_configs[0], Counters(), lease_changes.append, lambda: monotonic_ms() + skew[0]),
                  Node(cluster_configs[1], Counters(), lambda move: None)]
         nodes[1].set_ready(False)
         for node in nodes:
