--- a/gaphub/occupancy/exchange.py
+++ b/gaphub/occupancy/exchange.py
@@ -28,7 +28,7 @@
     """The result of a received message."""
 
     replies: Sequence[Outgoing] = ()
-    capacities: Mapping[int, int] = {}  # slots of a worker by kind, as the peer has seen them
+    capacities: Mapping[int, int] = {}  # slots of a worker by kind, as known to the peer
 
 
 NO_MESSAGES: tuple[Outgoing, ...] = ()
@@ -45,7 +45,7 @@
     def set_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int]) -> None:
         """Take a complete worker list: this scheduler's slots out at each listed worker, in the list's order.
 
-        ``identities``: for each worker a number that every scheduler gives it, whatever the order of lists.
+        ``identities``: for each worker a number that is the same at every scheduler, regardless of list order.
         """
 
     def update_workers(self, now: float, slots_out: Mapping[int, float], identities: Mapping[int, int],
--- a/gaphub/occupancy/sharded.py
+++ b/gaphub/occupancy/sharded.py
@@ -88,7 +88,7 @@
         self._sum_order = SumOrder()
         self._slots: dict[int, float] = {}  # own slots out, by worker number
         self._counts: dict[int, int] = {}  # the same, rounded up, by wire id
-        self._delisted: set[int] = set()  # numbers of workers no longer listed that still have own slots out
+        self._delisted: set[int] = set()  # numbers of workers no longer listed at which slots are still out
         self._dead_set = DeadSet.of(frozenset())
         self._bucket = TokenBucket(now, self.limits.bytes_per_s)
         self._round_sums: list[tuple[int, float]] = []  # ids whose sums this round sends, with as-of times
@@ -141,7 +141,7 @@
         return ()
 
     def remove_worker(self, now: float, worker_id: int) -> None:
-        """Remove a worker that is no longer listed; while own slots are out there, they are still reported."""
+        """Remove a worker that is no longer listed; its count is reported until it is 0."""
         if worker_id not in self._identities:
             return
         if self._slots.get(worker_id):
@@ -150,7 +150,7 @@
             self._forget_worker(worker_id)
 
     def record_change(self, now: float, worker_id: int, slots_out: float, increased: bool) -> Sequence[Outgoing]:
-        """Record a change of the own slots out at a worker; nothing is sent before the next round."""
+        """Record a change of this scheduler's slots out at a worker; nothing is sent before the next round."""
         if worker_id not in self._identities:
             return ()
         if slots_out > 0.0:
@@ -189,7 +189,7 @@
         self._sums.remove(wire_id)
 
     def _recount(self, wire_id: int) -> None:
-        """Compute the own count of an id, and if it changed, mark it in the reports to its targets."""
+        """Compute this scheduler's count of an id; if it changed, mark it in the reports to its targets."""
         slots = 0.0
         for number in self._identities.numbers_of(wire_id):
             slots += self._slots.get(number, 0.0)
@@ -211,7 +211,7 @@
             return []
         return [m for m in (owner, *self._assignment.dead_above(wire_id)) if m != self.me]
 
-    # What is known
+    # Queries
 
     def peer_slots(self, worker_id: int) -> int:
         """The slots that all peers together have out at a worker; 0 if unknown."""
@@ -413,7 +413,7 @@
     def _apply_message(self, now: float, sender: int, peer: _Peer, message: Message) -> None:
         """Apply a message of the sender's present epoch."""
         late = message.number <= peer.number
-        if late:  # no sign of life, but sums carry their age, and reports their base
+        if late:  # not counted as a heartbeat; applied, as sums carry their age, and reports their base
             self.dropped[DropReason.LATE] += 1
         else:
             peer.number = message.number
--- a/gaphub/occupancy/sized.py
+++ b/gaphub/occupancy/sized.py
@@ -21,14 +21,14 @@
 LARGE_FROM_PEERS = 8  # with fewer peers, all to all is affordable for any number of workers
 RECENT_ROUNDS = 2  # a peer heard in the sharded format within this many rounds is taken to use it
 EPOCH_MS = 100.0  # resolution of epochs: no scheduler starts twice within this
-EPOCHS = 2**32 - 1
+EPOCH_COUNT = 2**32 - 1
 
 _COUNTS = frozenset((Kind.DELTA, Kind.SNAPSHOT, Kind.SNAPSHOT_REQUEST))
 
 
 def epoch_at(now: float) -> int:
     """The epoch of a process that starts ``now``, in ms of Unix time; higher than that of any earlier one."""
-    return 1 + int(now / EPOCH_MS) % EPOCHS
+    return 1 + int(now / EPOCH_MS) % EPOCH_COUNT
 
 
 class SizedExchange:
@@ -209,7 +209,7 @@
             del peers_by_time[peer]
             self._all_to_all.remove_peer(peer)
 
-    # What is known
+    # Queries
 
     @property
     def heard_share(self) -> float:
--- a/gaphub/occupancy/sums_messages.py
+++ b/gaphub/occupancy/sums_messages.py
@@ -61,14 +61,14 @@
 class DeadSet:
     """The members that a sender considers dead: their numbers, or only a digest if there are many."""
 
-    named: frozenset[int] | None
+    members: frozenset[int] | None  # None: only the digest is known
     digest: int
 
     @staticmethod
     def of(dead: Set[int]) -> DeadSet:
         """The set as a message can hold it."""
         if not dead:
-            return _NOBODY_DEAD
+            return _NONE_DEAD
         digest = zlib.crc32(b"".join(m.to_bytes(2, "big") for m in sorted(dead)))
         return DeadSet(frozenset(dead) if len(dead) <= DEAD_NAMED_MAX else None, digest)
 
@@ -76,16 +76,16 @@
         """Whether this set is known to hold ``members``, which are some of ``all_dead``."""
         if not members or self.digest == all_dead.digest:
             return True
-        return self.named is not None and members <= self.named
+        return self.members is not None and members <= self.members
 
     def is_covered_by(self, dead: Set[int], all_dead: DeadSet) -> bool:
         """Whether this set is known to be a subset of ``dead``; ``all_dead`` is ``dead`` as a DeadSet."""
         if self.digest == all_dead.digest:
             return True
-        return self.named is not None and self.named <= dead
+        return self.members is not None and self.members <= dead
 
 
-_NOBODY_DEAD = DeadSet(frozenset(), 0)
+_NONE_DEAD = DeadSet(frozenset(), 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
 
 def dead_bytes(dead: DeadSet) -> int:
     """The size of the dead set in a message."""
-    return 4 if dead.named is None else 2 * len(dead.named)
+    return 4 if dead.members is None else 2 * len(dead.members)
 
 
 def _entries(entries: dict[int, int], wide: bool) -> bytes:
@@ -126,12 +126,12 @@
 def encode(message: Message) -> bytes:
     """Encode a message; the caller ensures that it fits in ``MESSAGE_BYTES_MAX``."""
     dead = message.dead
-    if dead.named is None:
+    if dead.members is None:
         dead_count, dead_data = 0, dead.digest.to_bytes(4, "big")
     else:
-        dead_count, dead_data = len(dead.named), b"".join(m.to_bytes(2, "big") for m in sorted(dead.named))
+        dead_count, dead_data = len(dead.members), b"".join(m.to_bytes(2, "big") for m in sorted(dead.members))
     wide = needs_wide_entries(max(chain(message.report.values(), message.sums.values()), default=0))
-    flags = ((_FLAG_MORE if message.more else 0) | (_FLAG_DIGEST if dead.named is None else 0)
+    flags = ((_FLAG_MORE if message.more else 0) | (_FLAG_DIGEST if dead.members is None else 0)
              | (_FLAG_WIDE if wide else 0))
     age = ceil(min(message.age_ms, AGE_MAX_MS) / AGE_UNIT_MS)
     header = _HEADER.pack(VERSION, flags, message.epoch, message.number, message.base, message.echo_epoch,
