--- a/gaphub/lab/clients.py
+++ b/gaphub/lab/clients.py
@@ -14,7 +14,7 @@
 from ..config import Address
 from ..metrics import Counters
 from ..tasks import Tasks
-from .world import read_head
+from .stand_ins import read_head
 
 WORTH = {"poloha": 3.0, "udalost": 2.0, "vyuctovani": 10.0}
 CLASS_SHARES = {"poloha": 0.43, "udalost": 0.43, "vyuctovani": 0.14}
--- a/gaphub/lab/gearman.py
+++ b/gaphub/lab/gearman.py
@@ -21,7 +21,7 @@
 
 from ..gearman import codec
 from .site import SETTINGS
-from .world import Agent
+from .stand_ins import Agent
 
 JOB_BODY = b"x" * 100
 READY_S = 15.0
--- a/gaphub/lab/idle.py
+++ b/gaphub/lab/idle.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from .site import SETTINGS
-from .world import Agent, read_head
+from .stand_ins import Agent, read_head
 
 READY_S = 20.0
 
--- a/gaphub/lab/recovery.py
+++ b/gaphub/lab/recovery.py
@@ -20,7 +20,7 @@
 
 from .clients import Clients, TryRecord
 from .site import CLASSES, SETTINGS, WORK_MS, free_port, start_gaphub
-from .world import Agent, Workers
+from .stand_ins import Agent, Workers
 
 BUCKET_S = 0.25  # width of the time buckets in which the served share is computed
 AT_MOST_ONCE = frozenset(c["name"] for c in CLASSES if c["idempotency"] == "at_most_once")
--- a/gaphub/lab/scale/discovery.py
+++ b/gaphub/lab/scale/discovery.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ...config import Address, DestinationList, ListedEntry
-from ..world import read_head
+from ..stand_ins import read_head
 from .hollow import worker_name
 
 MAX_WATCH_S = 5.0  # the longest time that a watch is held open
--- a/gaphub/lab/scale/processes.py
+++ b/gaphub/lab/scale/processes.py
@@ -19,7 +19,7 @@
 from ...config import Address
 from ...occupancy.status import OccupancyStatus
 from ..site import SETTINGS
-from ..world import read_head
+from ..stand_ins import read_head
 from .discovery import CountingAgent, zone_name
 from .hollow import FleetCounters, HollowPlan
 from .points import FleetMethod, Load
--- a/gaphub/lab/scale/runner.py
+++ b/gaphub/lab/scale/runner.py
@@ -27,7 +27,7 @@
 from ...config import Address
 from ..clients import Clients
 from ..site import WORK_MS
-from ..world import Workers
+from ..stand_ins import Workers
 from .change_latency import measure_list_changes, measure_settings_changes
 from .discovery import CountingAgent, Registry
 from .hollow import FleetCounters, HollowPlan
--- a/gaphub/lab/site.py
+++ b/gaphub/lab/site.py
@@ -24,7 +24,7 @@
 from ..config import Address
 from .clients import Clients
 from .front import ROUTER_AS, SITE_AS, Front
-from .world import Agent, Relay, Workers
+from .stand_ins import Agent, Relay, Workers
 
 SERVICE = "192.0.2.80"  # the announced route, a documentation address (RFC 5737); nothing listens there
 CLASSES: list[dict[str, Any]] = [
--- a/tests/discovery.py
+++ b/tests/discovery.py
@@ -13,7 +13,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from gaphub.lab.world import read_head
+from gaphub.lab.stand_ins import read_head
 
 from .scenario import free_port
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -25,7 +25,7 @@
 
 from gaphub.config import Address
 from gaphub.lab.site import SETTINGS, start_gaphub
-from gaphub.lab.world import read_head
+from gaphub.lab.stand_ins import read_head
 
 READY_S = 15.0
 HTTP_PORT, PEER_PORT, GEARMAN_PORT = 7000, 7946, 4730
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -28,7 +28,7 @@
 
 import pytest
 
-from gaphub.lab.world import Agent, Workers
+from gaphub.lab.stand_ins import Agent, Workers
 from gaphub.net.arrival import tcp_info_field
 from gaphub.net.http import ClientSession, Inbound, tunables
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,7 @@
 import pytest
 
 from gaphub.clock import Clock
-from gaphub.lab.world import Workers
+from gaphub.lab.stand_ins import Workers
 from gaphub.metrics import Counters
 from gaphub.net.gearman import GearmanFrontEnd
 from gaphub.net.http import OUTBOUND_SOCKET_SHARE, Connection, Inbound, Pool, Pools
--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from gaphub.lab.world import Workers
+from gaphub.lab.stand_ins import Workers
 from gaphub.net import destinations
 
 from .discovery import AgentMode, Discovery, Worker
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from gaphub.lab.world import Workers
+from gaphub.lab.stand_ins import Workers
 
 from .discovery import Discovery
 from .processes import Process, counters, job, running
--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -17,7 +17,7 @@
 import pytest
 
 from gaphub.core import Core
-from gaphub.lab.world import Agent, Workers
+from gaphub.lab.stand_ins import Agent, Workers
 from gaphub.net import http
 from gaphub.net.http import tunables
 
--- a/tests/test_occupancy_processes.py
+++ b/tests/test_occupancy_processes.py
@@ -25,7 +25,7 @@
 
 from gaphub.config import Address
 from gaphub.lab.site import SETTINGS, start_gaphub
-from gaphub.lab.world import Agent, read_head
+from gaphub.lab.stand_ins import Agent, read_head
 from gaphub.net.arrival import since_last_data_ms
 from gaphub.occupancy.budget import Limits
 from gaphub.occupancy.messages import Kind, decode
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -19,7 +19,7 @@
 
 from gaphub import config
 from gaphub.interface import ClassSettings, Effect
-from gaphub.lab.world import Agent, Workers
+from gaphub.lab.stand_ins import Agent, Workers
 from gaphub.ops import class_table, state_snapshot
 from gaphub.ops.worker_overrides import Override, WorkerOverrides
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -18,7 +18,7 @@
 import pytest
 
 from gaphub.core import Core
-from gaphub.lab.world import Agent, Workers
+from gaphub.lab.stand_ins import Agent, Workers
 from gaphub.messages import Answer, FinalStatus, Job
 from gaphub.net.http import MAX_BODY_BYTES, ClientSession, RequestHandler
 from gaphub.net.http.tunables import MAX_READ_AHEAD_BYTES
