--- a/gaphub/lab/answers.py
+++ b/gaphub/lab/answers.py
@@ -1,7 +1,7 @@
 """Tables over the requests of a fleet: how they ended, how long they took, and whether workers held their keys.
 
-The records of ``requests`` are read once, one at a time.  Kept are counts, histograms and the most recent keys of
-each worker, so memory does not grow with the number of requests.
+The records of ``request_records`` are read once, one at a time.  Kept are counts, histograms and the most recent
+keys of each worker, so memory does not grow with the number of requests.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from .requests import Call, RequestRecord
+from .request_records import Call, RequestRecord
 
 LATE_CALL_MS = 300.0  # from then on after its client left, no call of a request may start
 REORDER_WINDOW_MS = 60_000.0  # calls of longer requests may be evaluated out of order for their worker's keys
--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -18,7 +18,7 @@
 from . import fleet as counter_sums
 from . import gearman as gearman_load
 from . import recovery as recovery_experiment
-from . import requests as request_records
+from . import request_records
 from .answers import RequestTables
 from .clients import WORTH, Clients
 from .idle import measure
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from gaphub.cli import gaphub
-from gaphub.lab import answers, requests
+from gaphub.lab import answers, request_records
 from gaphub.lab.answers import RequestTables
 
 from .scenario import Harness
@@ -102,10 +102,10 @@
     monkeypatch.setattr(answers, "REORDER_WINDOW_MS", 500.0)
     write_logs(tmp_path, n0=[served_line(f"r{i}", 2_000_000 + 1000 * i, "7f") for i in range(50)])
     held = 0
-    read: list[requests.RequestRecord] = []
+    read: list[request_records.RequestRecord] = []
 
-    def counted() -> Iterator[requests.RequestRecord]:
-        for record in requests.read_records(tmp_path):
+    def counted() -> Iterator[request_records.RequestRecord]:
+        for record in request_records.read_records(tmp_path):
             read.append(record)
             yield record
 
@@ -139,7 +139,7 @@
 
     asyncio.run(run())
     (tmp_path / "n0.log").write_text("".join(lines))
-    (record,) = requests.read_records(tmp_path)
+    (record,) = request_records.read_records(tmp_path)
     call = record.served_by
     assert record.fields["key"] == "7f" and call is not None and call.kind == 0
     # Each of these times is rounded.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 import pytest
 
 from gaphub.core import Core
-from gaphub.lab import requests
+from gaphub.lab import request_records
 from gaphub.lab.answers import RequestTables
 from gaphub.messages import Call
 from gaphub.net import destinations, http
@@ -229,7 +229,7 @@
 
 def left(folder: Path) -> tuple[int, int]:
     """By the logs of a folder: how many clients left while waiting, and for how many a call was started later."""
-    answers = RequestTables(young_ms=9_000.0).add_all(requests.read_records(folder))
+    answers = RequestTables(young_ms=9_000.0).add_all(request_records.read_records(folder))
     return answers.clients_left, answers.called_after_leaving
 
 
