--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -19,9 +19,9 @@
 from . import gearman as gearman_load
 from . import recovery as recovery_experiment
 from . import request_records
-from .answers import RequestTables
 from .clients import WORTH, Clients
 from .idle import measure
+from .request_tables import RequestTables
 from .site import Site, free_port
 
 console = Console(highlight=False)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,8 +10,8 @@
 from click.testing import CliRunner
 
 from gaphub.cli import gaphub
-from gaphub.lab import answers, request_records
-from gaphub.lab.answers import RequestTables
+from gaphub.lab import request_records, request_tables
+from gaphub.lab.request_tables import RequestTables
 
 from .scenario import Harness
 
@@ -99,7 +99,7 @@
 
 
 def test_the_logs_are_read_once_and_little_is_held(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(answers, "REORDER_WINDOW_MS", 500.0)
+    monkeypatch.setattr(request_tables, "REORDER_WINDOW_MS", 500.0)
     write_logs(tmp_path, n0=[served_line(f"r{i}", 2_000_000 + 1000 * i, "7f") for i in range(50)])
     held = 0
     read: list[request_records.RequestRecord] = []
@@ -109,7 +109,7 @@
             read.append(record)
             yield record
 
-    for done, _ in enumerate(answers.order_by_start(counted())):
+    for done, _ in enumerate(request_tables.order_by_start(counted())):
         held = max(held, len(read) - done)
     assert len(read) == 50 and held <= 3
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 
 from gaphub.core import Core
 from gaphub.lab import request_records
-from gaphub.lab.answers import RequestTables
+from gaphub.lab.request_tables import RequestTables
 from gaphub.messages import Call
 from gaphub.net import destinations, http
 from gaphub.net.gearman import GearmanFrontEnd
