--- a/gaphub/lab/commands.py
+++ b/gaphub/lab/commands.py
@@ -14,11 +14,10 @@
 from rich.table import Table
 
 from ..cluster import explore as model_checker
+from . import counter_sums, request_records
 from . import failover as failover_experiment
-from . import fleet as counter_sums
 from . import gearman as gearman_load
 from . import recovery as recovery_experiment
-from . import request_records
 from .clients import WORTH, Clients
 from .idle import measure
 from .request_tables import RequestTables
