--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -53,7 +53,7 @@
 ERROR_RATE_STEP = 0.3  # for the error rate of a worker, with each of its answers
 ERROR_RATE_RISKY = 0.25  # error rate from which a worker gets only jobs that may be repeated
 ERROR_RATE_EJECT = 0.5  # two errors in a row: ejected, as a worker that fails at once looks free
-ERROR_MEMORY_MS = 8_000.0  # an older error is ignored
+ERROR_TTL_MS = 8_000.0  # an older error is ignored
 ERROR_EJECTION_MAX = 2  # times EJECTION_MS, for errors: a trial with a repeatable job costs little
 RESETS_TO_EJECT = 2  # in a row: a single reset is a fault of the connection, not of its worker
 EJECTION_MAX = 16  # times EJECTION_MS, so that a recovered worker is tried again within seconds
@@ -395,7 +395,7 @@
     def _failed_recently(worker: Worker, job: Job, class_index: int, now: float) -> bool:
         """Whether a class (-1: any) failed there too lately to send a job that must not run twice."""
         return (job.cls.effect != Effect.SAFE
-                and now - worker.last_error_at.get(class_index, -1e18) < ERROR_MEMORY_MS)
+                and now - worker.last_error_at.get(class_index, -1e18) < ERROR_TTL_MS)
 
     def _available(self, worker: Worker, job: Job, now: float) -> bool:
         """Whether a job would start at once, by counts, else a report, else a recent 'full' or wait there."""
@@ -522,7 +522,7 @@
         kind = job.cls.kind
         first_worker = job.first_run_worker
         zones = self.zone_reach.candidate_zones(self.rng.random)
-        everywhere = self.fleet.pool(zones, kind, job.class_index)
+        candidates = self.fleet.pool(zones, kind, job.class_index)
         if job.probed and not job.attempts:
             answered = [worker for worker in job.probed if worker.state == WorkerState.READY
                         and (now - worker.report_at <= PROBE_TTL_MS or self._known_slots(worker, now) > 0.0)]
@@ -530,12 +530,12 @@
                 return self._rank(job, now, answered)
         if first_worker is not None and job.cls.effect == Effect.KEYED:
             if job.cls.group == Group.ZONE:
-                everywhere = [worker for worker in everywhere if worker.zone == first_worker.zone]
+                candidates = [worker for worker in candidates if worker.zone == first_worker.zone]
             elif job.cls.group == Group.CELL:
-                everywhere = [worker for worker in everywhere if worker.cell == first_worker.cell]
-            return self._rank(job, now, everywhere)
+                candidates = [worker for worker in candidates if worker.cell == first_worker.cell]
+            return self._rank(job, now, candidates)
         key_type = job.key_type
-        # A rarely requested key has one home in all zones: with a home in each, each zone would fetch it.
+        # A rarely requested key goes to one worker in all zones: with one in each, each zone would fetch it.
         prefers_own = self._prefers_own_zone and (
             key_type is None
             or any(key_type.holds_key(worker_id, now) for worker_id in key_type.last_sent_at))
@@ -544,14 +544,14 @@
                 job, now, self.fleet.pool((self.settings.zone,), kind, job.class_index))
             if tier == 0:
                 return local, 0
-            other, other_tier = self._rank(job, now, everywhere)
+            other, other_tier = self._rank(job, now, candidates)
             return (other, other_tier) if other_tier < tier else (local, tier)
-        return self._rank(job, now, everywhere)
+        return self._rank(job, now, candidates)
 
     # -- attempts --
 
     def _may_send(self, job: Job, now: float) -> bool:
-        """Whether a further attempt does no harm; no other place decides this."""
+        """Whether a further attempt is harmless; the balancer decides this nowhere else."""
         if (job.closed or len(job.attempts) >= self.settings.max_attempts
                 or now >= job.deadline_at - self.settings.tick_ms):
             return False
@@ -568,7 +568,7 @@
         return now - first_at < job.cls.window_ms - 2 * self.settings.tick_ms
 
     def _may_refuse(self, job: Job) -> bool:
-        """Whether it is true that a retry by the client does no harm; no other place decides this."""
+        """Whether a retry by the client is harmless; the balancer decides this nowhere else."""
         if job.cls.effect == Effect.SAFE or (job.first_run_worker is None and not job.open_attempts):
             return True
         return job.cls.effect == Effect.KEYED and job.cls.group == Group.ALL
@@ -590,7 +590,7 @@
         return True
 
     def _shed_reason(self, job: Job, worker: Worker, tier: int, now: float) -> str:
-        """Why a job is shed, if it is: first what is over its tenant's share, then what would wait long."""
+        """The reason to shed a job; empty: none.  Jobs over a tenant's share first, then those with a long wait."""
         share = self.settings.over_share_worth if job.over_share else 1.0
         excess = self.saturation - SHED_FROM - SHED_VALUE_RANGE * self._relative_value(job) ** 0.5 * share
         if self.rng.random() * SHED_WIDTH < excess or (tier > 0 and share < 0.5):
@@ -678,7 +678,7 @@
         return exp(job_type.mean_log) * (job.hint_ms if job.hint_ms > 0 else 1.0) * slowdown
 
     def _resend(self, attempt: Attempt, now: float) -> None:
-        """Send the job of a silent attempt to another worker, where that does no harm."""
+        """Send the job of a silent attempt to another worker, where that is harmless."""
         if attempt.job.cls.effect == Effect.SAFE and now < attempt.job.aim_at:
             if self.settings.second_copies:
                 self._try_send(attempt.job, now)
@@ -693,7 +693,7 @@
                 self._release(attempt, now)
             return
         if self.settings.tells_start and attempt.started_at < 0:
-            # Waiting in a queue is no sign of illness: ejecting busy workers would worsen an overload.
+            # A wait in a queue is no sign of a fault: ejecting busy workers would worsen an overload.
             if now - job.arrived_at > LATE_START_SHARE * self._tightest_aim_ms(job):
                 self._record_start_delay(job, now - job.arrived_at)
             if not attempt.queued:
@@ -701,7 +701,7 @@
                 worker.busy_until = now + BUSY_MS * (0.5 + self.rng.random())
                 self._record_local_wait(attempt, 1.0)
             if attempt.sent_at < worker.last_started_sent_at - OVERTAKEN_MS and self.reports.in_order:
-                # Later attempts have started there: it is in no queue, its connection is silent.
+                # Later attempts have started there, so this one is not queued: its connection is silent.
                 self._release(attempt, now)
                 self._resend(attempt, now)
             else:
@@ -717,7 +717,7 @@
                 self._eject(worker, now, "silent")
             overdue = now - last_sign_at > RESEND_AFTER * self._expected_ms(job, worker)
             # A worker that is silent altogether may still hold the slot, as all others there, and the counts
-            # that schedulers tell each other must include it.
+            # that schedulers exchange must include it.
             if overdue and (worker.last_heard_at > attempt.sent_at or not self.shares_counts):
                 self._release(attempt, now)  # its connection is silent, or the work is not worth its slot
             if overdue or self.settings.second_copies:
@@ -832,7 +832,7 @@
         worker.resets = 0
         self.zone_reach.record(worker.zone, failed=False)
         if worker.ejections and (worker.error_rate < ERROR_RATE_EJECT
-                                 or now - worker.last_error_at.get(-1, -1e18) >= ERROR_MEMORY_MS):
+                                 or now - worker.last_error_at.get(-1, -1e18) >= ERROR_TTL_MS):
             worker.ejections = 0
             worker.half_open = False
             worker.ejected_until = -1e18
@@ -959,7 +959,7 @@
         """Give the final answer: a refusal if a retry is harmless, else a failure."""
         self.give_up_reason = reason
         if self._may_refuse(job):
-            # Jittered: clients that are refused together must not return together.
+            # Jittered: clients that are refused at the same time must not all retry at the same time.
             retry_after_ms = min(RETRY_AFTER_MS * (0.6 + 0.8 * self.rng.random()),
                                  self.settings.max_retry_after_ms)
             self.actions.refuse(job.id, retry_after_ms if self.settings.retry_after else 0.0)
--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -226,13 +226,13 @@
     def _has_usable_address(self, entry: ListedEntry) -> bool:
         """Whether the entry's address is valid, or is not needed.
 
-        Guards against an entry with an invalid address, which would raise whenever the balancer calls the worker
-        and abort its handling of a request midway.
+        An entry with an invalid address would raise whenever the balancer calls the worker, and abort its handling
+        of a request midway.
         """
         try:
             parse_address(entry.addr, entry.id)
         except ConfigError as error:
-            if entry.state == "active":  # that a worker drains or is gone counts without an address
+            if entry.state == "active":  # an entry of a worker that drains or is gone needs no address
                 self.counters.log("garbled.entry", str(error))
                 return False
         return True
--- a/tests/occupancy_network.py
+++ b/tests/occupancy_network.py
@@ -59,7 +59,7 @@
             self.start(member)
 
     def start(self, member: int) -> None:
-        """Start a member with a new epoch and nothing out."""
+        """Start a member with a new epoch and no slots in use."""
         self.epochs[member] += 1
         exchange = ShardedExchange(self.now, member, self.members, self.epochs[member], self.limits)
         self.exchanges[member] = exchange
@@ -68,7 +68,7 @@
             exchange.add_worker(self.now, number, name)
 
     def kill(self, member: int) -> None:
-        """End a member and everything that it has out."""
+        """End a member and release all its slots."""
         del self.exchanges[member]
         self.suspended.discard(member)
         self._socket_buffers.pop(member, None)
@@ -76,11 +76,11 @@
             self.set_count(member, number, 0)
 
     def count(self, member: int, worker: int) -> int:
-        """The slots that a member has out at a worker."""
+        """The slots that a member uses at a worker."""
         return self.history[member, worker][-1][1]
 
     def set_count(self, member: int, worker: int, count: int) -> None:
-        """Set a member's slots out at a worker."""
+        """Set the slots that a member uses at a worker."""
         before = self.count(member, worker)
         if count != before:
             self.history[member, worker].append((self.now, count))
@@ -88,7 +88,7 @@
                 self.exchanges[member].record_change(self.now, worker, count, count > before)
 
     def min_count_since(self, member: int, worker: int, since: float) -> int:
-        """The least slots that a member has had out at a worker since a time."""
+        """The fewest slots that a member has used at a worker since a time."""
         history = self.history[member, worker]
         first = bisect_right(history, since, key=lambda entry: entry[0]) - 1
         return min(count for _, count in history[max(0, first):])
@@ -144,7 +144,7 @@
         dropped_late = exchange.dropped[DropReason.LATE]
         assert exchange.on_message(self.now, sender, data, {}, self.rng.random) == Received()
         if exchange.dropped[DropReason.LATE] > dropped_late:
-            return  # an overtaken datagram is no sign of life
+            return  # a reordered datagram is no sign of life
         if self.now - self.heard_at.get((sender, peer), -1e18) > SILENT_MS:
             self.heard_since[sender, peer] = self.now
         self.heard_at[sender, peer] = self.now
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -28,7 +28,7 @@
 from .processes import Process, running
 from .scenario import SETTINGS, free_port
 
-SLACK_MS = 150.0  # by which the time told to a worker may exceed the time left
+SLACK_MS = 150.0  # by which the X-Timeout sent to a worker may exceed the time left
 SOCKET_MARGIN_S = 0.05  # added to every time limit, for the sockets
 ANSWER_LATE_S = 0.5  # past the deadline an answer is worthless; later than this it counts as lost
 LEAVE_MARGIN_S = 0.1  # later than this after a client has left, no attempt may start
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -290,7 +290,7 @@
 def test_a_cold_worker_is_sent_no_more_than_its_budget_by_all_together(name: str) -> None:
     async def work() -> None:
         windows = await run_case(CASES[name], 11)
-        for window in windows:  # to trace a failure, the window must be known
+        for window in windows:  # printed to help trace a failure
             print(f"{name}: {window.share:.2f} of the allowed load, N {window.budget:.1f}; {window}")
         assert all(window.share <= 1.0 for window in windows), windows
         assert any(window.work > 0.0 for window in windows), "no scheduler sent anything to a cold worker"
@@ -299,7 +299,7 @@
 
 
 def sends_to_cold_worker(heard: int) -> int:
-    """What one scheduler sends to a cold worker when it hears ``heard`` others, which have nothing out there."""
+    """What one scheduler sends to a cold worker when it hears ``heard`` others, which use no slots there."""
     world = World(1, balancers=SCHEDULERS, may_tell_peers=True, report_fields=("free_slots", "inflight"),
                   reports_in_answers=True, cold_from=COLD_FROM, cold_ms=WARM_MS)
     world.serve(world.request(), report=(12.0, 0.0))
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -25,8 +25,8 @@
 LOAD = 0.7  # of the workers' capacity
 COLD_MS = 9_000.0
 SPEEDS = (0.6, 1.4)  # of two kinds of workers; those that restart are of the slow one
-QUIET_PACE, BURST_PACE = 0.1, 6.0  # times the initial load
-QUIET_MS = 6_000.0
+LOW_RATE_FACTOR, BURST_RATE_FACTOR = 0.1, 6.0  # times the initial load
+LOW_RATE_MS = 6_000.0
 
 
 def fleet_of(schedulers: int, seed: int) -> Fleet:
@@ -45,10 +45,10 @@
 
 
 def a_burst_after_a_quiet_time(fleet: Fleet) -> None:
-    fleet.rate_factor = QUIET_PACE
+    fleet.rate_factor = LOW_RATE_FACTOR
     fleet.restart_workers(RESTARTED)
-    fleet.run(QUIET_MS)
-    fleet.rate_factor = BURST_PACE
+    fleet.run(LOW_RATE_MS)
+    fleet.rate_factor = BURST_RATE_FACTOR
     fleet.run(3_000.0)
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -237,7 +237,7 @@
     world.core.send(job.number, other, 0.0)
     assert len(world.port.calls) == 1  # the first call may have run
     world.core.refuse(job.number, 0.0)
-    assert world.final_statuses == [FinalStatus.FAILED]  # a refusal would promise that it did not run
+    assert world.final_statuses == [FinalStatus.FAILED]  # a refusal would state that it did not run
 
 
 @core_test
--- a/tests/test_occupancy_sized.py
+++ b/tests/test_occupancy_sized.py
@@ -369,7 +369,7 @@
 @pytest.mark.parametrize("down_ms", [50.0, 1_500.0, 4_000.0])
 def test_one_that_is_rolled_back_is_informed_before_it_would_drop_the_counts_of_others(down_ms: float) -> None:
     fleet = Fleet(2, 9)
-    fleet.delay_ms = 0.0  # an overtaken message would only be made up for by the next snapshot
+    fleet.delay_ms = 0.0  # a reordered message would be corrected only by the next snapshot
     fleet.run(10_000.0, changes=3)
     fleet.stop(4)
     fleet.run(down_ms)
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -161,7 +161,7 @@
     world.outcome(request, 0, Status.FULL, 1.0)
     assert world.worker_of(request) != first
     small = [world.worker_of(world.request(slots=1.0)) for _ in range(2)]
-    assert first in small  # a smaller job is not barred
+    assert first in small  # a smaller job may still be sent
     big = [world.worker_of(world.request(slots=4.0)) for _ in range(2)]
     assert first not in big
 
@@ -244,7 +244,7 @@
 
 
 def test_a_key_that_is_seldom_asked_for_has_one_home_in_all_zones() -> None:
-    # Guards against a home in each zone for rarely requested keys: with three zones, a third of all jobs at low
+    # Guards against one worker in each zone for a rarely requested key: with three zones, a third of all jobs at low
     # load had to fetch their key's data.
     entries = [entry(i, zone=i % 3) for i in range(1, 13)]
     worlds = [World(entries=entries, zones=3, zone=zone) for zone in range(3)]
@@ -254,7 +254,7 @@
         homes.append(home)
         for zone, world in enumerate(worlds):
             again = world.serve(world.request(key=key))
-            assert again % 3 == zone  # requested again so soon: a home in each zone
+            assert again % 3 == zone  # requested again so soon: one worker in each zone
             world.now += KEY_TTL_MS
         assert {world.serve(world.request(key=key)) for world in worlds} == {home}  # rarely
         assert [world.serve(world.request()) % 3 for world in worlds] == [0, 1, 2]  # no key, no fetch
@@ -270,7 +270,7 @@
         world.serve(world.request(key=1 + i), latency=100.0)
         world.now += 20.0
     assert 0.8 < job_type.fetch_log < 1.3  # log 3 is 1.1
-    assert abs(job_type.rates[1] / job_type.rates[2] - 1.0) < 0.2  # the fetch is not held against the worker
+    assert abs(job_type.rates[1] / job_type.rates[2] - 1.0) < 0.2  # the rate excludes the fetch
 
 
 def test_own_zone_first_and_others_when_it_is_not_available() -> None:
