--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -590,7 +590,7 @@
         return True
 
     def _shed_reason(self, job: Job, worker: Worker, tier: int, now: float) -> str:
-        """The reason to shed a job; empty: none.  Jobs over a tenant's share first, then those with a long wait."""
+        """The reason to shed a job; empty: none.  Over-share jobs go first, then those with a long wait."""
         share = self.settings.over_share_worth if job.over_share else 1.0
         excess = self.saturation - SHED_FROM - SHED_VALUE_RANGE * self._relative_value(job) ** 0.5 * share
         if self.rng.random() * SHED_WIDTH < excess or (tier > 0 and share < 0.5):
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -244,8 +244,8 @@
 
 
 def test_a_key_that_is_seldom_asked_for_has_one_home_in_all_zones() -> None:
-    # Guards against one worker in each zone for a rarely requested key: with three zones, a third of all jobs at low
-    # load had to fetch their key's data.
+    # Guards against one worker in each zone for a rarely requested key: with three zones, a third of all jobs at
+    # low load had to fetch their key's data.
     entries = [entry(i, zone=i % 3) for i in range(1, 13)]
     worlds = [World(entries=entries, zones=3, zone=zone) for zone in range(3)]
     homes = []
