--- a/gaphub/net/destinations.py
+++ b/gaphub/net/destinations.py
@@ -8,7 +8,7 @@
 
 In automatic mode the list is watched from the start, and what the agent has counts as delivered at once.  In
 subscribe mode (``must_ask``) the balancer asks for lists and watches, and what the agent has counts as delivered
-6 s later.  For what a silent watch misses see ``WATCH_MS``.
+6 s later.  For what a silent watch misses see ``WATCH_WAIT_MS``.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 # misses counts as delivered 6 s after it fell silent, or 2 s after the end of the wait if that is later; until the
 # watch is opened anew, workers that join are unknown.  The agent runs on this host and its calls cost nothing, so
 # the wait is short.
-WATCH_MS = 1_000
+WATCH_WAIT_MS = 1_000
 WATCH_MARGIN_S = 0.5  # an answer that is later than this after the wait: the agent is silent, the call is retried
 CALL_TIMEOUT_S = 2.0  # for connecting and for calls without a wait
 RETRY_MIN_S = 0.1  # after a failed call; doubles with each further failure up to the maximum of the mode
@@ -193,8 +193,8 @@
 
     async def _call(self, full: bool) -> bool:
         """Make one call and pass its list to the core; whether it was a full list or held changes."""
-        target = "/api/targets" if full else f"/api/targets?index={self.version}&wait={WATCH_MS}"
-        async with asyncio.timeout(CALL_TIMEOUT_S if full else WATCH_MS / 1000.0 + WATCH_MARGIN_S):
+        target = "/api/targets" if full else f"/api/targets?index={self.version}&wait={WATCH_WAIT_MS}"
+        async with asyncio.timeout(CALL_TIMEOUT_S if full else WATCH_WAIT_MS / 1000.0 + WATCH_MARGIN_S):
             if self._http is None or not self._http.reusable:
                 self._close_connection()
                 self._http = await Connection.connect(self.agent, CALL_TIMEOUT_S)
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -159,7 +159,7 @@
 
 def test_what_comes_back_unstarted_after_the_lease_is_refused_not_sent_elsewhere(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "WATCH_MS", 20_000)  # the agent answers only after the lease is lost
+    monkeypatch.setattr(destinations, "WATCH_WAIT_MS", 20_000)  # the agent answers only after the lease is lost
     run_steps(tmp_path, "holds", "visit c", "c send job poloha r1\nw expect r1", "lose", """
         d send list 42 changes x=active
         w send status 503 X-Not-Processed:1
--- a/tests/test_discovery_promises.py
+++ b/tests/test_discovery_promises.py
@@ -205,7 +205,7 @@
 
 def test_the_longest_wait_after_a_failure_and_a_call_that_hangs_then_leave_time_for_one_that_is_answered() -> None:
     """Guards against back-offs longer than the outages in the scenarios, which would pass them."""
-    hangs_s = max(destinations.CALL_TIMEOUT_S, destinations.WATCH_MS / 1000.0 + destinations.WATCH_MARGIN_S)
+    hangs_s = max(destinations.CALL_TIMEOUT_S, destinations.WATCH_WAIT_MS / 1000.0 + destinations.WATCH_MARGIN_S)
     assert destinations.RETRY_MAX_S + destinations.UNREQUESTED_AFTER_S + hangs_s < DELIVERED_S - 1.0
 
 
