--- a/gaphub/lab/scale/commands.py
+++ b/gaphub/lab/scale/commands.py
@@ -44,7 +44,7 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), default=Path("found/scale.jsonl"),
               show_default=True, help="The points file; measured points are appended to it.")
 def run_command(scenario: Path, overrides: tuple[str, ...], out: Path) -> None:
-    """Measure every point of SCENARIO on real scheduler processes among simulated (hollow) ones."""
+    """Measure every point of SCENARIO on real scheduler processes among simulated ones."""
     try:
         parsed = read_scenario(scenario, overrides)
         points = _run(scenario.stem, parsed, out)
--- a/gaphub/lab/scale/hollow.py
+++ b/gaphub/lab/scale/hollow.py
@@ -1,9 +1,9 @@
-"""Hollow schedulers: light simulated peers that send the real schedulers what many peers would at a given load.
+"""Simulated schedulers: light peers that send the real schedulers what as many real peers would at a given load.
 
-A hollow scheduler has a table of its running tasks by worker, a real ``Pacing`` that decides what to send and
+A simulated scheduler has a table of its running tasks by worker, a real ``Pacing`` that decides what to send and
 when, and an address of its own.  It sends to the real schedulers only: these are measured, and messages among
-hollow ones would cost the real ones nothing.  This module has the hollow schedulers of the all-to-all exchange,
-``hollow_sharded`` those of the sharded exchange, and ``hollow_process`` their sockets.
+simulated ones would cost the real ones nothing.  This module has the simulated schedulers of the all-to-all
+exchange, ``hollow_sharded`` those of the sharded exchange, and ``hollow_process`` their sockets.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 _HEARTBEAT, _TICK, _FLUSH, _SNAPSHOT = range(4)
 
 
-class HollowPlan(Struct, frozen=True):
-    """The size and load of the hollow fleet, and where it sends."""
+class FleetPlan(Struct, frozen=True):
+    """The size and load of the simulated fleet, and where it sends."""
 
-    listen: list[Address]  # one address for each hollow scheduler
+    listen: list[Address]  # one address for each simulated scheduler
     receivers: list[Address]  # the real schedulers
-    schedulers: int  # real and hollow ones
+    schedulers: int  # real and simulated ones
     workers: int
-    starts_per_s: float  # task starts at all hollow schedulers together
-    tasks_running: int  # at all hollow schedulers together
-    fill_s: float  # within this time each hollow scheduler sends its first snapshot (all-to-all only)
+    starts_per_s: float  # task starts at all simulated schedulers together
+    tasks_running: int  # at all simulated schedulers together
+    fill_s: float  # within this time each simulated scheduler sends its first snapshot (all-to-all only)
     seed: int
     way: FleetMethod = FleetMethod.ALL_TO_ALL
 
 
 class FleetCounters(Struct, frozen=True):
-    """What the hollow fleet has done since its start."""
+    """What the simulated fleet has done since its start."""
 
     at_s: float  # on the monotonic clock
     covered_s: float  # simulated time; less than the elapsed time if the simulation fell behind
@@ -68,18 +68,18 @@
 class TaskChange(NamedTuple):
     """A task that started or ended."""
 
-    scheduler: int  # index of the hollow scheduler
+    scheduler: int  # index of the simulated scheduler
     worker: int  # number of the worker
     started: bool
 
 
-def heartbeat_slowdown(plan: HollowPlan) -> float:
+def heartbeat_slowdown(plan: FleetPlan) -> float:
     """The heartbeat interval at this number of schedulers, as a multiple of ``HEARTBEAT_INTERVAL_S``."""
     return max(1.0, (plan.schedulers - 1) / HEARTBEAT_FULL_RATE_PEERS)
 
 
-class HollowScheduler:
-    """The running tasks of one hollow scheduler by worker, and its messages about them."""
+class SimulatedScheduler:
+    """The running tasks of one simulated scheduler by worker, and its messages about them."""
 
     __slots__ = ("counts", "pacing")
 
@@ -114,13 +114,13 @@
 
 
 class TaskSimulation:
-    """A seeded simulation of task starts and ends at the hollow schedulers; no I/O, no clock.
+    """A seeded simulation of task starts and ends at the simulated schedulers; no I/O, no clock.
 
     Starts are a Poisson process at the planned rate, each at a uniformly drawn scheduler and worker.  With every
     start one uniformly drawn running task ends, so that the number of running tasks is constant.
     """
 
-    def __init__(self, plan: HollowPlan, now: float) -> None:
+    def __init__(self, plan: FleetPlan, now: float) -> None:
         """``now``: in milliseconds, as in all methods."""
         self.plan = plan
         self.random = random.Random(plan.seed)
@@ -158,13 +158,13 @@
         return TaskChange(*self.tasks.pop(), False)
 
 
-class HollowFleet(TaskSimulation):
-    """All hollow schedulers of a fleet that uses the all-to-all exchange."""
+class AllToAllFleet(TaskSimulation):
+    """All simulated schedulers of a fleet that uses the all-to-all exchange."""
 
-    def __init__(self, plan: HollowPlan, now: float) -> None:
+    def __init__(self, plan: FleetPlan, now: float) -> None:
         """``now``: in milliseconds, as in all methods."""
         super().__init__(plan, now)
-        self.schedulers = [HollowScheduler(plan.schedulers - 1) for _ in plan.listen]
+        self.schedulers = [SimulatedScheduler(plan.schedulers - 1) for _ in plan.listen]
         self.heartbeat_slowdown = heartbeat_slowdown(plan)
         self._timers: list[tuple[float, int, int]] = []  # due time, kind, index of the scheduler
         for scheduler, worker in self.tasks:
--- a/gaphub/lab/scale/hollow_process.py
+++ b/gaphub/lab/scale/hollow_process.py
@@ -1,10 +1,10 @@
-"""The process of the hollow fleet: its sockets, its event loop, and its answers on standard output.
+"""The process of the simulated fleet: its sockets, its event loop, and its answers on standard output.
 
-``python -m gaphub.lab.scale.hollow_process`` reads a ``HollowPlan`` from the first line of standard input.  Each
+``python -m gaphub.lab.scale.hollow_process`` reads a ``FleetPlan`` from the first line of standard input.  Each
 further line asks for the counters, and is answered by a line with ``FleetCounters``.  The process exits at the end
 of the input.
 
-The sockets of hollow schedulers are read only in the sharded exchange, whose datagrams are echoed.  In the
+The sockets of simulated schedulers are read only in the sharded exchange, whose datagrams are echoed.  In the
 all-to-all exchange the kernel drops what arrives.
 """
 
@@ -22,12 +22,12 @@
 
 from ...config import Address
 from ...occupancy.exchange import ALL_PEERS
-from .hollow import FleetCounters, HollowFleet, HollowPlan
+from .hollow import AllToAllFleet, FleetCounters, FleetPlan
 from .hollow_sharded import FleetDatagram, ShardedFleet
 from .points import FleetMethod
 
 POLL_INTERVAL_S = 0.001  # longest wait between two checks for due datagrams
-RECEIVE_BUFFER_BYTES = 4_608  # kernel buffer of each hollow scheduler's socket
+RECEIVE_BUFFER_BYTES = 4_608  # kernel buffer of each simulated scheduler's socket
 MAX_DATAGRAM_BYTES = 2_048  # read from one datagram
 _STDIN = -1  # selector data for standard input, in place of a scheduler's index
 
@@ -35,11 +35,11 @@
 class FleetRunner:
     """The sockets of the fleet and its event loop."""
 
-    def __init__(self, plan: HollowPlan) -> None:
+    def __init__(self, plan: FleetPlan) -> None:
         self.plan = plan
         self.sockets = [_bound_socket(address) for address in plan.listen]
         self.fleet = (
-            ShardedFleet(plan, _now_ms()) if plan.way is FleetMethod.SHARDED else HollowFleet(plan, _now_ms()))
+            ShardedFleet(plan, _now_ms()) if plan.way is FleetMethod.SHARDED else AllToAllFleet(plan, _now_ms()))
         self.datagrams = self.bytes = self.unsent = 0  # summed over all receivers
         self._receiver_indices = {tuple(address): i for i, address in enumerate(plan.receivers)}
         self._selector = selectors.DefaultSelector()
@@ -135,7 +135,7 @@
 def main() -> None:
     """Run the fleet of the plan on standard input."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles Ctrl-C, and closes this process's input
-    runner = FleetRunner(msgspec.json.decode(_first_line(), type=HollowPlan))
+    runner = FleetRunner(msgspec.json.decode(_first_line(), type=FleetPlan))
     gc.freeze()  # a collection over the millions of objects of a large fleet would exceed MAX_STEP_MS
     gc.set_threshold(50_000, 50, 50)
     try:
--- a/gaphub/lab/scale/hollow_sharded.py
+++ b/gaphub/lab/scale/hollow_sharded.py
@@ -1,22 +1,22 @@
-"""Hollow schedulers of a large fleet: what they would send the real ones in the sharded exchange.
+"""Simulated schedulers of a large fleet: what they would send the real ones in the sharded exchange.
 
 Each has a real ``ShardedExchange``, whose rules and codec decide what it reports and echoes, which sums it sends,
 and how it spends its byte budget among all members.  The following is simplified, without effect on the real
 schedulers:
 
-- Hollow schedulers do not send to each other.  Each takes the others to be alive, as it would while none fails.
-  In place of each round to a hollow peer it spends as many bytes of its budget as its last round to a real
+- Simulated schedulers do not send to each other.  Each takes the others to be alive, as it would while none fails.
+  In place of each round to a simulated peer it spends as many bytes of its budget as its last round to a real
   scheduler had.
-- In place of the reports that an aggregator would receive from other hollow schedulers, it reads one shared table
-  of their slots out.  Its sums are thus newer than their stated age, by up to ``REPORT_AGE_ROUNDS`` rounds of
-  changes: some slots in either direction.
+- In place of the reports that an aggregator would receive from other simulated schedulers, it reads one shared
+  table of their slots out.  Its sums are thus newer than their stated age, by up to ``REPORT_AGE_ROUNDS`` rounds
+  of changes: some slots in either direction.
 - The age of a sum depends on when reports were built and echoed.  With one datagram a round in each direction, at
   independent phases for each pair, a report's age is anywhere up to two rounds.  A sum states the oldest report
-  over all members, which is close to two rounds in a large fleet (computed: 1.9 among 200).  Stated are therefore
-  ``REPORT_AGE_ROUNDS`` rounds, or the age of the real schedulers' reports, if that is higher.
-- For the hollow schedulers the list of workers never changes and no member dies.  Members, owners and ids are the
-  same for all, so all share one assignment.  While workers are removed from the list of the real schedulers, these
-  still receive sums of the removed ones.
+  over all members, which is close to two rounds in a large fleet (computed: 1.9 among 200).  The stated age is
+  therefore ``REPORT_AGE_ROUNDS`` rounds, or the age of the real schedulers' reports, if that is higher.
+- For the simulated schedulers the list of workers never changes and no member dies.  Members, owners and ids are
+  the same for all, so all share one assignment.  While workers are removed from the list of the real schedulers,
+  these still receive sums of the removed ones.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 from ...occupancy.identity import Identities
 from ...occupancy.sharded import ShardedExchange
 from ...occupancy.sums_messages import VERSION, DeadSet
-from .hollow import HollowPlan, TaskSimulation, heartbeat_slowdown, worker_name
+from .hollow import FleetPlan, TaskSimulation, heartbeat_slowdown, worker_name
 
-REPORT_AGE_ROUNDS = 2.0  # stated age of hollow schedulers' reports in the sums of another hollow scheduler
-EPOCH = 1  # of each hollow scheduler, which never restarts
+REPORT_AGE_ROUNDS = 2.0  # stated age of simulated schedulers' reports in the sums of another simulated scheduler
+EPOCH = 1  # of each simulated scheduler, which never restarts
 _HEARTBEAT, _WAKE = range(2)
 
 
 class FleetDatagram(NamedTuple):
-    """A datagram of a hollow scheduler."""
+    """A datagram of a simulated scheduler."""
 
     scheduler: int  # index of the sender
     receiver: int  # index of the real scheduler, or ALL_PEERS
@@ -51,31 +51,31 @@
 
 
 class SharedTable:
-    """State that all hollow schedulers of a fleet share."""
+    """State that all simulated schedulers of a fleet share."""
 
     def __init__(self, members: int, names: Mapping[int, str]) -> None:
         """``names``: of the workers, by worker number, as the core passes them to its exchange."""
         self.assignment = Assignment(range(members))
         self.identities = Identities()
-        self.slots_out: dict[int, int] = {}  # total over all hollow schedulers, by wire id
+        self.slots_out: dict[int, int] = {}  # total over all simulated schedulers, by wire id
         for number, name in names.items():
             self.identities.add(number, name)
         for number in names:
             self.assignment.add(self.identities.id_of(number))
 
     def add_slots(self, number: int, delta: int) -> None:
-        """Add ``delta`` to the slots that the hollow schedulers have out at a worker."""
+        """Add ``delta`` to the slots that the simulated schedulers have out at a worker."""
         wire_id = self.identities.id_of(number)
         self.slots_out[wire_id] = self.slots_out.get(wire_id, 0) + delta
 
 
-class HollowAggregator(Aggregator):
-    """Sums over the real schedulers' reports and the shared table of the hollow schedulers' slots out."""
+class SimulatedAggregator(Aggregator):
+    """Sums over the real schedulers' reports and the shared table of the simulated schedulers' slots out."""
 
     __slots__ = ("_shared", "_report_age_ms")
 
     def __init__(self, me: int, real: Iterable[int], shared: SharedTable, report_age_ms: float) -> None:
-        """``report_age_ms``: the stated age of the reports of other hollow schedulers."""
+        """``report_age_ms``: the stated age of the reports of other simulated schedulers."""
         super().__init__(me, real)
         self._shared = shared
         self._report_age_ms = report_age_ms
@@ -98,15 +98,15 @@
         return min(super().as_of(now, wire_id, dead_required, all_dead), now - self._report_age_ms)
 
 
-class HollowExchange(ShardedExchange):
-    """One hollow scheduler's exchange, which sends to the real members only."""
+class SimulatedExchange(ShardedExchange):
+    """One simulated scheduler's exchange, which sends to the real members only."""
 
     def __init__(self, now: float, me: int, members: int, real: Collection[int], shared: SharedTable) -> None:
         super().__init__(now, me, range(members), EPOCH)
         self._real = frozenset(real)
         self._assignment = shared.assignment
         self._identities = shared.identities
-        self._aggregator = HollowAggregator(me, real, shared, REPORT_AGE_ROUNDS * self.plan.round_ms)
+        self._aggregator = SimulatedAggregator(me, real, shared, REPORT_AGE_ROUNDS * self.plan.round_ms)
         self.plan = self._plan(0.0, 0.0)
         self._last_real_bytes = 0  # in the last round to a real scheduler
         self._last_real_reports = 0
@@ -133,15 +133,15 @@
 
 
 class ShardedFleet(TaskSimulation):
-    """All hollow schedulers of a large fleet; the real schedulers have the lowest member numbers."""
+    """All simulated schedulers of a large fleet; the real schedulers have the lowest member numbers."""
 
-    def __init__(self, plan: HollowPlan, now: float) -> None:
+    def __init__(self, plan: FleetPlan, now: float) -> None:
         """``now``: in milliseconds, as in all methods."""
         super().__init__(plan, now)
         real = range(len(plan.receivers))
         names = [str(worker_identity(SOURCE, worker_name(i))) for i in range(plan.workers)]
         self.shared = SharedTable(plan.schedulers, dict(zip(self.worker_numbers, names, strict=True)))
-        self.exchanges = [HollowExchange(now, len(real) + i, plan.schedulers, real, self.shared)
+        self.exchanges = [SimulatedExchange(now, len(real) + i, plan.schedulers, real, self.shared)
                           for i in range(len(plan.listen))]
         self.counts: list[dict[int, int]] = [{} for _ in plan.listen]
         self._timers: list[tuple[float, int, int]] = []  # due time, kind, index of the scheduler
@@ -156,7 +156,7 @@
             heappush(self._timers, (now + self.random.random() * self._heartbeat_ms, _HEARTBEAT, i))
 
     def _add_slots(self, scheduler: int, worker: int, delta: int) -> int:
-        """Change one hollow scheduler's slots out at a worker; return the new count."""
+        """Change one simulated scheduler's slots out at a worker; return the new count."""
         counts = self.counts[scheduler]
         slots_out = counts.get(worker, 0) + delta
         if slots_out:
--- a/gaphub/lab/scale/points.py
+++ b/gaphub/lab/scale/points.py
@@ -39,7 +39,7 @@
     """The size of the fleet and the rates of its events."""
 
     workers: int
-    schedulers: int  # real and hollow ones
+    schedulers: int  # real and simulated ones
     starts_per_s: float  # task starts in the whole fleet, with as many ends
     tasks_running: int
     changes_per_s: float  # of the list of workers, or of the settings where these are swept
--- a/gaphub/lab/scale/processes.py
+++ b/gaphub/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a point: the real schedulers and the hollow fleet, each ended through its process handle."""
+"""The processes of a point: the real schedulers and the simulated fleet, each ended through its process handle."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from ..site import SETTINGS
 from ..stand_ins import read_head
 from .discovery import CountingAgent, zone_name
-from .hollow import FleetCounters, HollowPlan
+from .hollow import FleetCounters, FleetPlan
 from .points import FleetMethod, Load
 from .sampling import Sample
 
@@ -29,7 +29,7 @@
 START_TIMEOUT_S = 30.0  # until a scheduler is ready and has the full list
 STATS_TIMEOUT_S = 2.0  # for an answer at the operators' address
 STOP_TIMEOUT_S = 3.0  # for a process to exit by itself before it is killed
-FLEET_ANSWER_TIMEOUT_S = 20.0  # the hollow fleet first answers when it has filled its tables
+FLEET_ANSWER_TIMEOUT_S = 20.0  # the simulated fleet first answers when it has filled its tables
 HTTP_PORT, OPS_PORT, PEER_PORT = 8_000, 8_001, 7_946  # of a real scheduler
 START_ARGUMENTS = {
     FleetMethod.SHARDED: ["-m", "gaphub"],  # the daemon chooses by size
@@ -47,8 +47,8 @@
     """A process did not start, or does not answer."""
 
 
-def hollow_address(index: int) -> Address:
-    """The address of a hollow scheduler, in 127.0.0.0/8, which is all loopback on Linux.
+def simulated_address(index: int) -> Address:
+    """The address of a simulated scheduler, in 127.0.0.0/8, which is all loopback on Linux.
 
     Concurrent runs use different ports, which lie below the ephemeral port range.
     """
@@ -181,13 +181,13 @@
         await _stop(self.process, kill=True)
 
 
-class HollowProcess:
-    """The process of the hollow fleet."""
+class FleetProcess:
+    """The process of the simulated fleet."""
 
     def __init__(self) -> None:
         self.process: asyncio.subprocess.Process | None = None
 
-    async def start(self, plan: HollowPlan) -> None:
+    async def start(self, plan: FleetPlan) -> None:
         """Start the process; return once it is ready to send."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "gaphub.lab.scale.hollow_process", cwd=SOURCE_TREE,
@@ -206,7 +206,7 @@
         async with asyncio.timeout(FLEET_ANSWER_TIMEOUT_S):
             line = await self.process.stdout.readline()
         if not line:
-            raise ProcessError("the hollow fleet has ended")
+            raise ProcessError("the simulated fleet has ended")
         return msgspec.json.decode(line, type=FleetCounters)
 
     async def counters(self) -> FleetCounters:
--- a/gaphub/lab/scale/runner.py
+++ b/gaphub/lab/scale/runner.py
@@ -30,9 +30,9 @@
 from ..stand_ins import Workers
 from .change_latency import measure_list_changes, measure_settings_changes
 from .discovery import CountingAgent, Registry
-from .hollow import FleetCounters, HollowPlan
+from .hollow import FleetCounters, FleetPlan
 from .points import ChangeLatency, FleetMethod, Load, Machine, Point, SchedulerUsage, append_point
-from .processes import SOURCE_TREE, HollowProcess, ProcessError, RealScheduler, hollow_address
+from .processes import SOURCE_TREE, FleetProcess, ProcessError, RealScheduler, simulated_address
 from .sampling import Sample, usage_between
 from .scenario import (
     CHANGES_SWEEP,
@@ -47,8 +47,8 @@
 )
 
 RESPONDING_WORKERS = 16  # simulated workers that listen; every list entry has the address of one of them
-MAX_SKIPPED_SHARE = 0.05  # of a window, in simulated time that the hollow fleet may skip
-MAX_LOST_SHARE = 0.05  # of the hollow fleet's datagrams
+MAX_SKIPPED_SHARE = 0.05  # of a window, in simulated time that the simulated fleet may skip
+MAX_LOST_SHARE = 0.05  # of the simulated fleet's datagrams
 POINT_OVERHEAD_TIMEOUT_S = 90.0  # a point that takes longer than this beside its windows has failed
 MAX_BASELINE_WARM_UP_S = 3.0  # shorter than others, as without peer messages there are no sums to collect
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory
@@ -59,7 +59,7 @@
 
 @dataclass
 class Window:
-    """One measured window: what each real scheduler used, and what the hollow fleet did meanwhile."""
+    """One measured window: what each real scheduler used, and what the simulated fleet did meanwhile."""
 
     seconds: float
     schedulers: list[SchedulerUsage]
@@ -165,7 +165,7 @@
 def unsound_reason(window: Window, schedulers: int) -> str:
     """Why a window does not represent the planned load; empty if it does.
 
-    ``schedulers``: the number of all schedulers, real and hollow.
+    ``schedulers``: the number of all schedulers, real and simulated.
     """
     if window.sent is None:
         return ""
@@ -173,7 +173,7 @@
     elapsed_s, covered_s = after.at_s - before.at_s, after.covered_s - before.covered_s
     faults = []
     if covered_s < (1.0 - MAX_SKIPPED_SHARE) * elapsed_s:
-        faults.append(f"the hollow schedulers simulated {covered_s:.2f} s of {elapsed_s:.2f} s: "
+        faults.append(f"the fleet simulated {covered_s:.2f} s of {elapsed_s:.2f} s: "
                       f"{(after.starts - before.starts) / elapsed_s:.0f} starts a second")
     sent = (after.datagrams - before.datagrams) * len(window.schedulers)
     # The real schedulers also receive from each other; each sends the same number to every peer.
@@ -181,7 +181,7 @@
     expected_from_real = sent_by_real * (len(window.schedulers) - 1) / (schedulers - 1)
     received = round(sum(m.peer_in_datagrams for m in window.schedulers) - expected_from_real)
     if received < (1.0 - MAX_LOST_SHARE) * sent:
-        faults.append(f"{received} of the hollow schedulers' {sent} datagrams arrived")
+        faults.append(f"{received} of the simulated schedulers' {sent} datagrams arrived")
     if window.dropped:
         faults.append(f"{window.dropped} datagrams found a full mailbox")
     return "; ".join(faults)
@@ -199,7 +199,7 @@
         self.workers = Workers(WORK_MS, seed)
         self.registry: Registry
         self.real_schedulers: list[RealScheduler] = []
-        self.hollow = HollowProcess()
+        self.fleet_process = FleetProcess()
         self.clients: list[Clients] = []
         self._stack = AsyncExitStack()
 
@@ -226,36 +226,36 @@
             stack.callback(agent.close)
             await agent.open()
             self.real_schedulers.append(RealScheduler(folder, index, agent))
-        hollow = self._hollow_addresses()
-        peers = [scheduler.peer_listen for scheduler in self.real_schedulers] + hollow
+        simulated = self._simulated_addresses()
+        peers = [scheduler.peer_listen for scheduler in self.real_schedulers] + simulated
         for scheduler in self.real_schedulers:
             scheduler.configure(load, peers, self.scenario.peer_price, self.peer_messages, self.exchange_method)
             stack.push_async_callback(scheduler.close)
             await scheduler.start()
         # Sharded: a scheduler that receives nothing for some rounds takes all peers to be dead.
         if self.exchange_method is FleetMethod.SHARDED:
-            await self._start_hollow(hollow)
+            await self._start_fleet(simulated)
         for scheduler in self.real_schedulers:
             await scheduler.wait_ready(load.workers)
-        # All to all: the hollow schedulers send their first snapshots at once, so the real ones must be ready.
+        # All to all: the simulated schedulers send their first snapshots at once, so the real ones must be ready.
         if self.exchange_method is FleetMethod.ALL_TO_ALL:
-            await self._start_hollow(hollow)
+            await self._start_fleet(simulated)
         for scheduler in self.real_schedulers:
             self._start_client(scheduler)
 
-    async def _start_hollow(self, listen: list[Address]) -> None:
+    async def _start_fleet(self, listen: list[Address]) -> None:
         if self.peer_messages:
-            self._stack.push_async_callback(self.hollow.close)
-            await self.hollow.start(self._hollow_plan(listen))
+            self._stack.push_async_callback(self.fleet_process.close)
+            await self.fleet_process.start(self._fleet_plan(listen))
 
-    def _hollow_addresses(self) -> list[Address]:
-        return [hollow_address(i) for i in range(self.load.schedulers - len(self.real_schedulers))]
+    def _simulated_addresses(self) -> list[Address]:
+        return [simulated_address(i) for i in range(self.load.schedulers - len(self.real_schedulers))]
 
-    def _hollow_plan(self, listen: list[Address]) -> HollowPlan:
-        load, hollow_share = self.load, len(listen) / self.load.schedulers
-        return HollowPlan(
+    def _fleet_plan(self, listen: list[Address]) -> FleetPlan:
+        load, simulated_share = self.load, len(listen) / self.load.schedulers
+        return FleetPlan(
             listen, [scheduler.peer_listen for scheduler in self.real_schedulers], load.schedulers, load.workers,
-            load.starts_per_s * hollow_share, round(load.tasks_running * hollow_share),
+            load.starts_per_s * simulated_share, round(load.tasks_running * simulated_share),
             self.scenario.warm_up_s / 2, self.seed, self.exchange_method)
 
     def _start_client(self, scheduler: RealScheduler) -> None:
@@ -309,4 +309,4 @@
         return [await scheduler.read_usage() for scheduler in self.real_schedulers]
 
     async def _fleet_counters(self) -> FleetCounters | None:
-        return await self.hollow.counters() if self.peer_messages else None
+        return await self.fleet_process.counters() if self.peer_messages else None
--- a/gaphub/lab/scale/scenario.py
+++ b/gaphub/lab/scale/scenario.py
@@ -19,7 +19,7 @@
 from .points import FleetMethod, Load
 
 MAX_REAL_SCHEDULERS = 8  # scheduler processes
-MAX_SCHEDULERS = 4_000  # the hollow fleet binds an address, and needs a descriptor, for each
+MAX_SCHEDULERS = 4_000  # the simulated fleet binds an address, and needs a descriptor, for each
 MAX_COUNT = 255  # of one scheduler's tasks at one worker, in a message
 PEER_COUNT_BYTES = 120  # memory of a real scheduler for one peer's count at one worker
 WORKER_BYTES = 4_000  # memory of a real scheduler for one listed worker
@@ -56,9 +56,9 @@
 
     load: Load  # the values of keys that are not swept
     sweeps: Sweeps
-    real_schedulers: int  # measured processes; the other schedulers are hollow
+    real_schedulers: int  # measured processes; the other schedulers are simulated
     seconds: float = 5.0  # length of a measured window
-    warm_up_s: float = 3.0  # before each window; all hollow schedulers send a snapshot within half of it
+    warm_up_s: float = 3.0  # before each window; all simulated schedulers send a snapshot within half of it
     repeats: int = 1
     seed: int = 1
     peer_price: float = 0.0  # deductions.peer in the settings; above 0 a large fleet sends no peer messages
@@ -195,6 +195,6 @@
 
 def descriptors_needed(scenario: Scenario, load: Load) -> int:
     """The number of descriptors of the process that needs most."""
-    hollow = load.schedulers + 64
+    fleet = load.schedulers + 64
     runner = 256 + 128 * scenario.real_schedulers
-    return max(hollow, runner)
+    return max(fleet, runner)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""Tests of scale runs: scenarios, points file, messages of hollow schedulers, short runs of real processes."""
+"""Tests of scale runs: scenarios, points file, messages of simulated schedulers, short runs of real processes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from gaphub.lab.scale import runner
 from gaphub.lab.scale.change_latency import CHANGE_TIMEOUT_S, ChangeTracker
 from gaphub.lab.scale.discovery import CountingAgent, Registry
-from gaphub.lab.scale.hollow import HollowFleet, HollowPlan, HollowScheduler, worker_name, worker_number
+from gaphub.lab.scale.hollow import AllToAllFleet, FleetPlan, SimulatedScheduler, worker_name, worker_number
 from gaphub.lab.scale.points import (
     ChangeLatency,
     Load,
@@ -31,7 +31,7 @@
     append_point,
     read_points,
 )
-from gaphub.lab.scale.processes import HollowProcess, RealScheduler
+from gaphub.lab.scale.processes import FleetProcess, RealScheduler
 from gaphub.lab.scale.sampling import Sample, usage_between
 from gaphub.lab.scale.scenario import Scenario, ScenarioError, Sweeps, plan_points, read_scenario
 from gaphub.net.peers import HEARTBEAT_TYPE
@@ -174,16 +174,16 @@
     assert usage_between("n1", before, after) == SchedulerUsage("n1", 0.5, 70.0, 40, 30, 4, 3, 300, 30, 2)
 
 
-# --- hollow schedulers -----------------------------------------------------------------------------
+# --- simulated schedulers -----------------------------------------------------------------------------
 
-def _plan(schedulers: int, starts: float, tasks: int, workers: int = 50, seed: int = 3) -> HollowPlan:
+def _plan(schedulers: int, starts: float, tasks: int, workers: int = 50, seed: int = 3) -> FleetPlan:
     listen = [("127.1.0.1", 1 + i) for i in range(schedulers - 2)]
-    return HollowPlan(listen, [], schedulers, workers, starts, tasks, 1.0, seed)
+    return FleetPlan(listen, [], schedulers, workers, starts, tasks, 1.0, seed)
 
 
-def _simulate(plan: HollowPlan, seconds: float, step_ms: float = 5.0
-          ) -> tuple[HollowFleet, list[tuple[float, int, bytes]]]:
-    fleet = HollowFleet(plan, 0.0)
+def _simulate(plan: FleetPlan, seconds: float, step_ms: float = 5.0
+          ) -> tuple[AllToAllFleet, list[tuple[float, int, bytes]]]:
+    fleet = AllToAllFleet(plan, 0.0)
     messages, now = [], 0.0
     while now < seconds * 1000.0:
         now += step_ms
@@ -233,7 +233,7 @@
 
 
 def test_a_hollow_scheduler_tells_a_start_at_once_and_an_end_with_company() -> None:
-    few, many = HollowScheduler(5), HollowScheduler(30)
+    few, many = SimulatedScheduler(5), SimulatedScheduler(30)
     for scheduler in (few, many):
         scheduler.encode_messages(0.0, SNAPSHOT)
         (data,) = scheduler.change(1.0, 77, started=True)
@@ -436,30 +436,30 @@
 
     assert runner.unsound_reason(window(9.9, 990), 7) == ""
     assert "simulated 9.00 s of 10.00 s" in runner.unsound_reason(window(9.0, 990), 7)
-    assert "900 of the hollow schedulers' 1000" in runner.unsound_reason(window(9.9, 900), 7)
+    assert "900 of the simulated schedulers' 1000" in runner.unsound_reason(window(9.9, 900), 7)
     # Of 1,000 sent to each of two schedulers, each received 900, and 90 more from the other real scheduler.
     usage = SchedulerUsage("n0", 0.1, 60.0, 0, 0, 990, 90 * 6, 0, 0, 0)
     sent = FleetCounters(0.0, 0.0, 0, 0, 9, 0, 0, 0), FleetCounters(10.0, 10.0, 90, 90, 9, 1_000, 9_000, 0)
-    assert "1800 of the hollow schedulers' 2000" in runner.unsound_reason(
+    assert "1800 of the simulated schedulers' 2000" in runner.unsound_reason(
         runner.Window(10.0, [usage] * 2, sent, 0), 7)
     assert "3 datagrams found a full mailbox" in runner.unsound_reason(window(9.9, 990, 3), 7)
 
 
 # --- every process is ended --------------------------------------------------------------------------
 
-@pytest.mark.parametrize("fault", ["the hollow fleet", "a scheduler"])
+@pytest.mark.parametrize("fault", ["the simulated fleet", "a scheduler"])
 def test_what_was_started_is_ended_when_a_point_fails(
         fault: str, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    started: list[RealScheduler | HollowProcess] = []
-    start_real, start_hollow, warm_up = RealScheduler.start, HollowProcess.start, runner.Deployment.warm_up
+    started: list[RealScheduler | FleetProcess] = []
+    start_real, start_fleet, warm_up = RealScheduler.start, FleetProcess.start, runner.Deployment.warm_up
 
     async def start_and_record_real(self: RealScheduler) -> None:
         await start_real(self)
         started.append(self)
 
-    async def start_and_record_hollow(self: HollowProcess, plan: HollowPlan) -> None:
+    async def start_and_record_fleet(self: FleetProcess, plan: FleetPlan) -> None:
         broken = msgspec.structs.replace(plan, listen=plan.listen[:1] * 2)  # two sockets at one address
-        await start_hollow(self, broken if fault == "the hollow fleet" else plan)
+        await start_fleet(self, broken if fault == "the simulated fleet" else plan)
         started.append(self)
 
     async def failing_warm_up(self: runner.Deployment) -> None:
@@ -472,11 +472,11 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr("tempfile.tempdir", None)
     monkeypatch.setattr(RealScheduler, "start", start_and_record_real)
-    monkeypatch.setattr(HollowProcess, "start", start_and_record_hollow)
+    monkeypatch.setattr(FleetProcess, "start", start_and_record_fleet)
     monkeypatch.setattr(runner.Deployment, "warm_up", failing_warm_up)
     scenario = msgspec.structs.replace(SMALL, sweeps=Sweeps(workers=[64]))
     (point,) = asyncio.run(runner.run("small", scenario, None))
-    assert ("hollow fleet has ended" if fault == "the hollow fleet" else "n0") in point.failed
+    assert ("simulated fleet has ended" if fault == "the simulated fleet" else "n0") in point.failed
     assert point.schedulers == []
     assert len([process for process in started if isinstance(process, RealScheduler)]) == 4
     for process in started:
--- a/tests/test_scale_sharded.py
+++ b/tests/test_scale_sharded.py
@@ -1,4 +1,4 @@
-"""Tests of scale runs with the sharded exchange: messages of hollow schedulers, and real processes among them."""
+"""Tests of scale runs with the sharded exchange: messages of simulated schedulers, and real processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from gaphub.lab.scale import runner
-from gaphub.lab.scale.hollow import HollowPlan, worker_name, worker_number
+from gaphub.lab.scale.hollow import FleetPlan, worker_name, worker_number
 from gaphub.lab.scale.hollow_sharded import ShardedFleet
 from gaphub.lab.scale.points import FleetMethod, Load, Machine, Point, SchedulerUsage
 from gaphub.lab.scale.scenario import MethodChoice, Scenario, Sweeps, exchange_method_at
@@ -37,20 +37,20 @@
 SMALL = Scenario(LOAD, Sweeps(), REAL, seconds=4.0, warm_up_s=7.0, requests_most_per_s=10.0)
 
 
-# --- messages of hollow schedulers, on a simulated clock --------------------------------------------
+# --- messages of simulated schedulers, on a simulated clock --------------------------------------------
 
 @dataclass
 class Simulation:
-    """A simulation of two real exchanges among ten hollow schedulers."""
+    """A simulation of two real exchanges among ten simulated schedulers."""
 
     fleet: ShardedFleet
     real_exchanges: list[ShardedExchange]
     now: float = 0.0
     due: list[float] = field(default_factory=lambda: [0.0] * REAL)
     in_flight: list[tuple[int, int, bytes]] = field(default_factory=list)  # sender, receiver, data
-    sent_by_hollow: list[tuple[float, int, int, bytes]] = field(default_factory=list)  # with the time
+    sent_by_simulated: list[tuple[float, int, int, bytes]] = field(default_factory=list)  # with the time
     sent_by_real: list[tuple[float, int, int, bytes]] = field(default_factory=list)
-    totals: list[tuple[float, dict[int, int]]] = field(default_factory=list)  # of hollow schedulers, by wire id
+    totals: list[tuple[float, dict[int, int]]] = field(default_factory=list)  # of simulated schedulers, by wire id
     steady_drops: list[int] = field(default_factory=list)  # of each real exchange, before the steady state
 
     def run(self, ms: float, rng: random.Random) -> None:
@@ -62,7 +62,7 @@
             for sender, receiver, data in arriving:
                 self._deliver(sender, receiver, data, rng)
             for scheduler, receiver, data in self.fleet.advance(self.now):
-                self.sent_by_hollow.append((self.now, scheduler, receiver, data))
+                self.sent_by_simulated.append((self.now, scheduler, receiver, data))
                 if receiver != ALL_PEERS:
                     self.in_flight.append((REAL + scheduler, receiver, data))
             for i, exchange in enumerate(self.real_exchanges):
@@ -88,9 +88,9 @@
     rng = random.Random(seed)
     listen = [("127.1.0.1", 1 + i) for i in range(SCHEDULERS - REAL)]
     receivers = [("127.0.0.1", 1 + i) for i in range(REAL)]
-    hollow_share = len(listen) / SCHEDULERS
-    plan = HollowPlan(listen, receivers, SCHEDULERS, WORKERS, STARTS_PER_S * hollow_share,
-                      round(TASKS * hollow_share), 1.0, seed, FleetMethod.SHARDED)
+    simulated_share = len(listen) / SCHEDULERS
+    plan = FleetPlan(listen, receivers, SCHEDULERS, WORKERS, STARTS_PER_S * simulated_share,
+                      round(TASKS * simulated_share), 1.0, seed, FleetMethod.SHARDED)
     real = [ShardedExchange(0.0, i, range(SCHEDULERS), 9) for i in range(REAL)]
     for exchange in real:
         for worker in range(WORKERS):
@@ -115,7 +115,7 @@
 
 def test_every_datagram_decodes_and_is_no_longer_than_allowed(simulation: Simulation) -> None:
     heartbeats = 0
-    for _, _, receiver, data in simulation.sent_by_hollow:
+    for _, _, receiver, data in simulation.sent_by_simulated:
         if receiver == ALL_PEERS:
             assert data == bytes([HEARTBEAT_TYPE, 1])
             heartbeats += 1
@@ -139,12 +139,12 @@
 
 
 def test_hollow_exchanges_drop_nothing_either(simulation: Simulation) -> None:
-    for hollow in simulation.fleet.exchanges:
-        assert not hollow.dropped[DropReason.GAP]
-        assert not hollow.dropped[DropReason.DISAGREES]
-        assert not hollow.dropped[DropReason.LATE]
-        assert hollow.refused_entries() == 0
-        assert not hollow._assignment.dead
+    for exchange in simulation.fleet.exchanges:
+        assert not exchange.dropped[DropReason.GAP]
+        assert not exchange.dropped[DropReason.DISAGREES]
+        assert not exchange.dropped[DropReason.LATE]
+        assert exchange.refused_entries() == 0
+        assert not exchange._assignment.dead
 
 
 def test_what_is_believed_was_out_within_its_age(simulation: Simulation) -> None:
@@ -154,9 +154,9 @@
             assert age <= exchange.plan.age_bound_ms
             wire_id = simulation.wire_id(worker)
             since = simulation.now - age - STEP_MS
-            hollow = [totals.get(wire_id, 0) for at, totals in simulation.totals if at >= since]
+            simulated = [totals.get(wire_id, 0) for at, totals in simulation.totals if at >= since]
             other = _own_slots(1 - exchange.me, worker)
-            assert min(hollow) + other <= exchange.peer_slots(worker_number(worker)) <= max(hollow) + other
+            assert min(simulated) + other <= exchange.peer_slots(worker_number(worker)) <= max(simulated) + other
 
 
 def test_what_is_believed_is_all_that_is_out_once_nothing_changes() -> None:
@@ -171,7 +171,7 @@
 
 def test_hollow_schedulers_spend_what_a_real_one_spends(simulation: Simulation) -> None:
     seconds = (simulation.now - STEADY_MS) / 1_000.0
-    received = [data for at, _, to, data in simulation.sent_by_hollow if at > STEADY_MS and to == 0]
+    received = [data for at, _, to, data in simulation.sent_by_simulated if at > STEADY_MS and to == 0]
     sent = [data for at, by, to, data in simulation.sent_by_real if at > STEADY_MS and by == 0 and to >= REAL]
     assert len(received) == pytest.approx(len(sent), rel=0.15)
     assert sum(map(len, received)) == pytest.approx(sum(map(len, sent)), rel=0.15)
@@ -187,7 +187,7 @@
 
 
 def test_the_same_seed_says_the_same_in_a_large_fleet(simulation: Simulation) -> None:
-    assert _simulate().sent_by_hollow == simulation.sent_by_hollow
+    assert _simulate().sent_by_simulated == simulation.sent_by_simulated
 
 
 # --- the choice of the exchange method, and how it is reported -----------------------------------------
