--- a/tests/test_gearman.py
+++ b/tests/test_gearman.py
@@ -68,7 +68,7 @@
         g send 9
         g expect #10
     """,
-    "a background job tells nobody, and its status is known": f"""{WORKER}
+    "a background job sends no updates, and its status can be queried": f"""{WORKER}
         g2 send 18 pos||load
         g2 expect #8 (?P<c>H:[^\\x00]+)
         {ASSIGN}
@@ -92,7 +92,7 @@
         g expect #40 (?P<h>H:[^\\x00]+)\\x00pos\\x00u2\\x00\\x00load
     """,
     # Guards against running an at-most-once job twice: the worker may have run it before it disconnected.
-    "a worker that drops during a never-twice job: WORK_FAIL, sent nowhere else": f"""{WORKER}
+    "a worker that drops during an at-most-once job: WORK_FAIL, sent nowhere else": f"""{WORKER}
         g2 send 7 pay|u1|bill
         g2 expect #8 (?P<c>H:[^\\x00]+)
         {ASSIGN}
@@ -118,7 +118,7 @@
         g3 send 13 $h|again
         g2 expect #13 .*again
     """,
-    "a worker that drops before its grab never ran it: a never-twice job goes elsewhere": f"""{WORKER}
+    "a worker that drops before its grab never ran it: an at-most-once job goes elsewhere": f"""{WORKER}
         g2 send 7 pay|u1|bill
         g expect #6
         g3 send 1 pay
@@ -131,7 +131,7 @@
         g3 send 13 $h|paid
         g2 expect #13 .*paid
     """,
-    "a resubmission joins the running job, then gets the recorded end": f"""{WORKER}
+    "a resubmission joins the running job, then gets the recorded result": f"""{WORKER}
         g2 send 7 pay|u1|bill
         {ASSIGN}
         g2 close
@@ -144,7 +144,7 @@
         g4 expect #8 .*paid
         count calls.sent 1
     """,
-    "a client that leaves a job without a unique calls it off": f"""{WORKER}
+    "a client that disconnects cancels its job without a unique": f"""{WORKER}
         g2 send 7 pos||load
         g expect #6
         g2 close
@@ -186,7 +186,7 @@
         g expect #25 .*refused
         g expect #14
     """,
-    "garbled packets are dropped and the session goes on": """
+    "garbled packets are dropped and the session continues": """
         g send 99 x
         g expect #19 unknown_command
         g send 7 pos
@@ -201,7 +201,7 @@
         g2 send \\0XXX\\0\\0\\0\\1\\0\\0\\0\\0
         g2 expect-close
     """,
-    "an oversized packet is read over": """
+    "an oversized packet is skipped": """
         g send 7 pos||""" + "a" * 70000 + """
         g expect #19 too_large
         g send 16 still
@@ -259,7 +259,7 @@
         g expect-close
         count calls.timeout 1
     """,
-    "a worker that can do a function no longer hands its jobs back unrun": f"""{WORKER}
+    "a worker that drops a function returns its queued jobs unstarted": f"""{WORKER}
         g2 send 7 pay|u1|bill
         g expect #6
         g3 send 1 pay
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -207,7 +207,7 @@
 per_worker = 1
 """
 SCENARIOS = {
-    "jobs wait until a worker comes, and all are served": """
+    "jobs are queued until a worker connects, and all are served": """
         g send 7 pos||one
         g expect #8
         g send 7 pos||two
@@ -239,7 +239,7 @@
         g2 send 9
         g2 expect #11 (?P<h>H:[^\\x00]*)\\x00any\\x00x
     """,
-    "a reduce job tells its reducer to a worker that asks for all": """
+    "a worker that sends GRAB_JOB_ALL receives the reducer of a reduce job": """
         g send 37 pos||sum|x
         g expect #8
         g2 send 1 pos
@@ -250,7 +250,7 @@
         g2 send 13 $h|done
         g expect #13 .*done
     """,
-    "a waiting job can be cancelled, and its client hears": """
+    "a queued job can be cancelled, and its client is notified": """
         g send 7 pos||x
         g expect #8 (?P<h>H:\\S*:\\d+)
         a send cancel job $h\\n
@@ -258,7 +258,7 @@
         g expect #14
         count requests.taken 0
     """,
-    "who leaves takes its waiting job along": """
+    "a client that disconnects cancels its queued job": """
         g send 7 pos||x
         g expect #8
         g close
@@ -282,7 +282,7 @@
         g2 send 16 still here
         g2 expect #17 still here
     """,
-    "what waits is refused when the daemon leaves": """
+    "queued jobs are refused when the daemon stops": """
         g send 7 pos||x
         g expect #8
         term
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -168,8 +168,8 @@
     g2 expect #11 (?P<h>H:[^\\x00]*)\\x00pos\\x00later
 """
 SCENARIOS = {
-    "an epoch that is past begins at once": "g send 36 pos||5|later\ng expect #8\n" + WORKER,
-    "an epoch ahead waits": f"""
+    "a job with a past epoch starts at once": "g send 36 pos||5|later\ng expect #8\n" + WORKER,
+    "a job with a future epoch waits": f"""
         g send 36 pos||{int(time.time()) + 9000}|later
         g expect #8 (?P<j>H:\\S*:\\d+)
         g2 send 1 pos
@@ -182,11 +182,11 @@
         g send 15 $j
         g expect #20 .*\\x000\\x000\\x000\\x000
     """,
-    "a schedule that is full refuses": "".join(f"""
+    "a full schedule refuses jobs": "".join(f"""
         g send 35 pos||0|0|1|1||later
         g expect #{kind}
     """ for kind in (8, 8, "19 schedule_full")),
-    "fields that are none are refused": """
+    "invalid schedule fields are refused": """
         g send 35 pos||77|0|1|1||later
         g expect #19 invalid_packet
         g send 36 pos||soon|later
