--- a/gaphub/lab/scale/measures.py
+++ b/gaphub/lab/scale/measures.py
@@ -44,10 +44,10 @@
 )}
 
 # The target has no rate of settings changes of its own; the rate of all changes is used.
-SETTINGS_SWEEP = SweptKey("settings_changes_per_s", "settings changes/s", lambda load: load.changes_per_s,
-                       lambda target: target.changes_per_s, only_change_kind=SETTINGS)
+SETTINGS_CHANGES_KEY = SweptKey("settings_changes_per_s", "settings changes/s", lambda load: load.changes_per_s,
+                                lambda target: target.changes_per_s, only_change_kind=SETTINGS)
 
-SWEPT_KEYS = {**LOAD_KEYS, SETTINGS_SWEEP.key: SETTINGS_SWEEP}
+SWEPT_KEYS = {**LOAD_KEYS, SETTINGS_CHANGES_KEY.key: SETTINGS_CHANGES_KEY}
 
 
 @dataclass(frozen=True)
--- a/gaphub/lab/scale/tables.py
+++ b/gaphub/lab/scale/tables.py
@@ -6,7 +6,7 @@
 
 from .budget import Comparison, Target, rank_by_factor
 from .fit import CONFIDENCE, Estimate, Line
-from .measures import CONTROL_CPU, LOAD_KEYS, MAX_REQUEST_DIFFERENCE, SETTINGS_SWEEP, Measure
+from .measures import CONTROL_CPU, LOAD_KEYS, MAX_REQUEST_DIFFERENCE, SETTINGS_CHANGES_KEY, Measure
 from .points import Load
 from .series import Observation, Remark, Series, SortedPoints, SourcedPoint, Sweep
 
@@ -123,7 +123,7 @@
     """The other loads.  One that varied is marked, because the slope then includes its effect."""
     texts = []
     for swept in LOAD_KEYS.values():
-        if swept is sweep.swept or (sweep.swept is SETTINGS_SWEEP and swept.key == "changes_per_s"):
+        if swept is sweep.swept or (sweep.swept is SETTINGS_CHANGES_KEY and swept.key == "changes_per_s"):
             continue
         values = {swept.of_load(each.point.load) for each in sweep.points}
         varied = " (**varied**)" if len(values) > 1 else ""
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -18,7 +18,7 @@
 
 from gaphub.lab.scale.budget import BUDGETS, Comparison, Target, Verdict, rank_by_factor
 from gaphub.lab.scale.fit import ConstantLoadError, Estimate, NotFiniteError, TooFewPointsError, fit_line
-from gaphub.lab.scale.measures import CONTROL_CPU, LOAD_KEYS, SETTINGS_SWEEP, SWEPT_KEYS, baseline_fault
+from gaphub.lab.scale.measures import CONTROL_CPU, LOAD_KEYS, SETTINGS_CHANGES_KEY, SWEPT_KEYS, baseline_fault
 from gaphub.lab.scale.points import (
     ChangeLatency,
     Load,
@@ -227,7 +227,7 @@
 
 def test_the_target_has_every_swept_key() -> None:
     assert list(LOAD_KEYS) == list(Load.__struct_fields__)
-    assert list(SWEPT_KEYS) == [*LOAD_KEYS, SETTINGS_SWEEP.key]
+    assert list(SWEPT_KEYS) == [*LOAD_KEYS, SETTINGS_CHANGES_KEY.key]
     target = Target(schedulers=90)
     at = {key: swept.of_target(target) for key, swept in LOAD_KEYS.items()}
     assert at == {"workers": 11_000, "schedulers": 90, "starts_per_s": 2500.0, "tasks_running": 310_000,
