--- a/tests/test_starving.py
+++ b/tests/test_starving.py
@@ -91,11 +91,14 @@
             assert tally.served >= SHARE * tally.requests, (spec, tally)
 
 
-def test_no_class_starves_that_is_a_small_part_of_the_load_of_one_scheduler() -> None:
-    classes = [ClassSpec(1.0, 150.0, 1, False, Effect.SAFE, 0.2),
-               ClassSpec(1.0, 150.0, 2, False, Effect.SAFE, 1.0),
-               ClassSpec(1.0, 150.0, 4, False, Effect.SAFE, 0.2)]
-    tallies, peak_load = simulate(classes, 1, 1.0, 1, 0.3, False, 2)
+@pytest.mark.parametrize(("classes", "replaced_share", "schedulers", "load", "seed"), [
+    ([ClassSpec(1.0, 150.0, 1, False, Effect.SAFE, 0.2), ClassSpec(1.0, 150.0, 2, False, Effect.SAFE, 1.0),
+      ClassSpec(1.0, 150.0, 4, False, Effect.SAFE, 0.2)], 1.0, 1, 0.3, 2),
+    ([ClassSpec(1.0, 400.0, 4, True, Effect.SAFE, 0.2)], 0.9, 12, 0.15, 0),
+])
+def test_no_class_with_few_requests_starves(classes: list[ClassSpec], replaced_share: float, schedulers: int,
+                                            load: float, seed: int) -> None:
+    tallies, peak_load = simulate(classes, 1, replaced_share, schedulers, load, False, seed)
     assert peak_load <= 1.0
     for spec, tally in zip(classes, tallies, strict=True):
         if tally.requests >= 20 and tally.with_free_worker >= 0.5 * tally.requests:
