--- a/gaphub/logic.py
+++ b/gaphub/logic.py
@@ -47,7 +47,8 @@
 FULL_BACKOFF_MS = 150.0  # first back-off after 'full', about one short job; doubles, up to 4 times as long
 EJECTION_MS = 1_000.0  # first ejection of a worker that failed to connect or fell silent; doubles
 POSSIBLY_RUNNING = frozenset((Status.TIMEOUT, Status.RESET, Status.CANCELLED))  # the worker may still run it
-MIN_HOLD_SHARE = 0.3  # of the expected response time: the slots of such an attempt stay counted for at least this
+# Of the expected response time: the slots of such an attempt stay counted for at least this.
+MIN_HOLD_SHARE = 0.3
 RESEND_AFTER = 6.0  # expected response times without any sign: a repeatable job is cancelled and sent again
 OVERTAKEN_MS = 200.0  # an attempt sent this long before one that has started already is not in the queue
 ERROR_RATE_STEP = 0.3  # for the error rate of a worker, with each of its answers
@@ -852,7 +853,7 @@
 
     def on_outcome(self, now: float, request: int, attempt_index: int, status: int, latency_ms: float,
                    closed: bool, report: tuple[float, ...]) -> None:
-        """An attempt ended: update the estimates, and go on with its request if that still needs an answer."""
+        """An attempt ended: update the estimates, and go on with its request if that is still unanswered."""
         attempt = self._find_attempt(request, attempt_index)
         if attempt is None or not attempt.open:
             return
